--- a/src/main/java/io/beryldock/routing/CallKind.java
+++ b/src/main/java/io/beryldock/routing/CallKind.java
@@ -4,16 +4,19 @@
 import io.beryldock.call.ServiceName;
 
 /**
- * Calls that may be expected to take about the same time at equal targets of one service.
+ * Key under which the latencies of similar calls to a service are averaged.
+ *
+ * <p>Calls from the same service to the same first path segment are expected to take about the same time on equal
+ * targets.
  *
  * <p>Immutable.
  *
- * @param caller the service that calls
- * @param segment first segment of the path
+ * @param caller the calling service
+ * @param segment the first segment of the request path
  */
 public record CallKind(ServiceName caller, String segment) {
 
-    /** All calls that nothing is known of. */
+    /** Stands for calls of unknown kind, and for all kinds beyond the limit of {@link ServiceBaseline}. */
     static final CallKind ANY = new CallKind(Call.OUTSIDE, "");
 
     public static CallKind of(Call call) {
--- a/src/main/java/io/beryldock/routing/ChooserSettings.java
+++ b/src/main/java/io/beryldock/routing/ChooserSettings.java
@@ -5,13 +5,13 @@
 /**
  * Settings of a {@link TargetChooser}. Immutable.
  *
- * @param ramp time in which a new or returned target comes to its full share
- * @param firstEjection length of a target's first ejection; each further one lasts twice as long
- * @param maxEjection longest ejection
+ * @param ramp time in which the share of a new or returned target grows to its full value
+ * @param firstEjection length of a target's first ejection; each further one is twice as long
+ * @param maxEjection upper limit on the length of an ejection
  * @param maxEjectedShare largest share of a service's targets that may be ejected for failed calls
- * @param consecutiveFailures failed calls in a row that eject a target
- * @param placement how targets are weighed against each other, and whether their reports of load are used
- * @param crossingPrice what a call's bytes between data centres are worth as waiting time, beside the round trip
+ * @param consecutiveFailures consecutive failed calls that eject a target
+ * @param placement how the cost of targets is compared, and whether their load reports are used
+ * @param crossingPrice cost of a call's bytes between data centres, as waiting time in addition to the round trip
  */
 public record ChooserSettings(
         Duration ramp,
@@ -39,7 +39,7 @@
             throw new IllegalArgumentException("consecutive failures must be at least 1: " + consecutiveFailures);
         }
         if (crossingPrice.isNegative()) {
-            throw new IllegalArgumentException("the price of crossing must be at least 0: " + crossingPrice);
+            throw new IllegalArgumentException("the crossing price must not be negative: " + crossingPrice);
         }
     }
 
@@ -47,7 +47,7 @@
         return DEFAULTS;
     }
 
-    /** The same with another placement. */
+    /** A copy with another placement and crossing price. */
     public ChooserSettings withPlacement(Placement other, Duration price) {
         return new ChooserSettings(
                 ramp, firstEjection, maxEjection, maxEjectedShare, consecutiveFailures, other, price);
--- a/src/main/java/io/beryldock/routing/Distances.java
+++ b/src/main/java/io/beryldock/routing/Distances.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * How far other data centres are, by measured round trips.
+ * Assigns data centres to distance tiers by measured round trip times.
  *
- * <p>There are three tiers: the own data centre, near ones and those of other regions. One without a measurement is
- * near. The version changes only when a data centre changes its tier. Thread safe.
+ * <p>There are three tiers: the local data centre, near ones and those of other regions. A data centre without a
+ * measurement counts as near. The version changes only when a data centre moves to another tier. Thread safe.
  */
 final class Distances {
 
@@ -19,7 +19,7 @@
     static final int FAR = 2;
     static final int TIERS = 3;
 
-    /** Round trips above this are between regions. */
+    /** Data centres with a longer round trip are in another region. */
     private static final long FAR_NANOS = Duration.ofMillis(10).toNanos();
 
     private static final double SAMPLE_WEIGHT = 0.2;
@@ -44,15 +44,15 @@
     }
 
     void onRoundTrip(DataCentre other, long nanos) {
-        int before = tier(other);
+        int previousTier = tier(other);
         roundTrips.merge(other, (double) nanos, (old, sample) -> old + SAMPLE_WEIGHT * (sample - old));
-        if (tier(other) != before) {
+        if (tier(other) != previousTier) {
             version.incrementAndGet();
         }
     }
 
-    /** Round trip to the farthest near data centre, 0 when none was measured. */
-    long nearNanos() {
+    /** Longest round trip to a data centre of the near tier, 0 when none was measured. */
+    long nearRoundTripNanos() {
         double farthest = 0;
         for (double nanos : roundTrips.values()) {
             farthest = nanos > FAR_NANOS ? farthest : Math.max(farthest, nanos);
--- a/src/main/java/io/beryldock/routing/Ejection.java
+++ b/src/main/java/io/beryldock/routing/Ejection.java
@@ -4,91 +4,91 @@
 import java.time.Duration;
 
 /**
- * Whether one target is left out for failed calls, and for how long.
+ * Ejection state of one target: whether it is excluded from the choice because calls to it failed, and for how long.
  *
- * <p>An ejection ends with a probe: one call at a time until one goes well. Each ejection is twice as long as the one
- * before, until the target has been well for {@link #FORGIVEN_NANOS}. Not thread safe; guarded by the lock of
- * {@link ServiceTargets}.
+ * <p>After the ejection time the target is probed with one call at a time until a probe succeeds. Each ejection is
+ * twice as long as the previous one, until the target has been healthy for {@link #RESET_NANOS}. Not thread safe;
+ * guarded by the lock of {@link ServiceTargets}.
  */
 final class Ejection {
 
-    static final long FORGIVEN_NANOS = Duration.ofMinutes(1).toNanos();
+    static final long RESET_NANOS = Duration.ofMinutes(1).toNanos();
 
     private static final int MAX_DOUBLINGS = 20;
 
-    final FailureWindow window;
-    private int consecutive;
+    final FailureCounter failures;
+    private int consecutiveFailures;
     private int ejections;
-    private boolean out;
+    private boolean ejected;
     private boolean unreachable;
-    private long until;
-    private long wellSince;
+    private long ejectedUntil;
+    private long healthySince;
 
     Ejection(long now) {
-        this.window = new FailureWindow(now);
-        this.until = now;
-        this.wellSince = now;
+        this.failures = new FailureCounter(now);
+        this.ejectedUntil = now;
+        this.healthySince = now;
     }
 
     Condition condition(long now) {
-        if (!out) {
+        if (!ejected) {
             return Condition.HEALTHY;
         }
-        if (now >= until) {
+        if (now >= ejectedUntil) {
             return Condition.PROBED;
         }
         return unreachable ? Condition.UNREACHABLE : Condition.EJECTED;
     }
 
-    boolean isOut() {
-        return out;
+    boolean isEjected() {
+        return ejected;
     }
 
-    /** Whether it was ejected before the latest time, and that is not forgiven yet. */
+    /** Whether the target was ejected at least twice since its history was last reset. */
     boolean isRepeated() {
         return ejections > 1;
     }
 
-    int consecutive() {
-        return consecutive;
+    int consecutiveFailures() {
+        return consecutiveFailures;
     }
 
-    void onWell(long now) {
-        consecutive = 0;
-        window.add(false, now);
+    void onSuccess(long now) {
+        consecutiveFailures = 0;
+        failures.add(false, now);
     }
 
     void onFailed(long now) {
-        consecutive++;
-        window.add(true, now);
+        consecutiveFailures++;
+        failures.add(true, now);
     }
 
-    /** Leaves the target out, longer each time, and returns for how long. */
+    /** Ejects the target and returns the length in nanoseconds, which doubles with each ejection up to the maximum. */
     long eject(long now, boolean nodeUnreachable, ChooserSettings settings, double jitter) {
-        if (!out && now - wellSince > FORGIVEN_NANOS) {
+        if (!ejected && now - healthySince > RESET_NANOS) {
             ejections = 0;
         }
         int doublings = Math.min(MAX_DOUBLINGS, ejections);
-        long plain = Math.min(
+        long unjittered = Math.min(
                 settings.maxEjection().toNanos(), settings.firstEjection().toNanos() << doublings);
-        long length = (long) (plain * (1 + jitter));
+        long length = (long) (unjittered * (1 + jitter));
         ejections++;
-        out = true;
+        ejected = true;
         unreachable = nodeUnreachable;
-        until = now + length;
+        ejectedUntil = now + length;
         return length;
     }
 
-    void comeBack(long now) {
-        out = false;
+    void reinstate(long now) {
+        ejected = false;
         unreachable = false;
-        consecutive = 0;
-        wellSince = now;
-        window.clear();
+        consecutiveFailures = 0;
+        healthySince = now;
+        failures.clear();
     }
 
-    /** Ends the waiting time, as there is news of the target: the next call is a probe. */
+    /** Ends the ejection time early because the state of the target has changed: the next call is a probe. */
     void probeNow(long now) {
-        until = Math.min(until, now);
+        ejectedUntil = Math.min(ejectedUntil, now);
     }
 }
--- a/src/main/java/io/beryldock/routing/FailureWindow.java
+++ b/src/main/java/io/beryldock/routing/FailureCounter.java
@@ -1,11 +1,11 @@
 package io.beryldock.routing;
 
 /**
- * Failed and all calls of late, each counting less as time goes by.
+ * Counts of calls and of failed calls that decay exponentially with time.
  *
  * <p>Not thread safe; guarded by the lock of {@link ServiceTargets}.
  */
-final class FailureWindow {
+final class FailureCounter {
 
     private static final double TIME_CONSTANT_NANOS = 10e9;
 
@@ -13,23 +13,23 @@
     private double failures;
     private long updated;
 
-    FailureWindow(long now) {
+    FailureCounter(long now) {
         this.updated = now;
     }
 
     void add(boolean failed, long now) {
-        fade(now);
+        decay(now);
         calls += 1;
         failures += failed ? 1 : 0;
     }
 
     double calls(long now) {
-        fade(now);
+        decay(now);
         return calls;
     }
 
     double failures(long now) {
-        fade(now);
+        decay(now);
         return failures;
     }
 
@@ -38,10 +38,10 @@
         failures = 0;
     }
 
-    private void fade(long now) {
-        double kept = Math.exp(-Math.max(0, now - updated) / TIME_CONSTANT_NANOS);
-        calls *= kept;
-        failures *= kept;
+    private void decay(long now) {
+        double retained = Math.exp(-Math.max(0, now - updated) / TIME_CONSTANT_NANOS);
+        calls *= retained;
+        failures *= retained;
         updated = now;
     }
 }
--- a/src/main/java/io/beryldock/routing/OutlierDetector.java
+++ b/src/main/java/io/beryldock/routing/OutlierDetector.java
@@ -8,55 +8,60 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Leaves targets of one service out whose calls fail while those of others don't, and takes them back.
+ * Ejects targets of one service whose calls fail while calls to its other targets succeed, and reinstates them later.
  *
- * <p>Invariant: no target is ejected for failed calls when more than the set share of the ready ones would then be left
- * out; one that can't be reached is left out whatever the share. Not thread safe; guarded by the lock of
+ * <p>Invariant: a target is not ejected for failed calls if more than the configured share of the ready targets would
+ * then be ejected. An unreachable target is ejected regardless of that share. Not thread safe; guarded by the lock of
  * {@link ServiceTargets}.
  */
 final class OutlierDetector {
 
-    private static final double FEWEST_CALLS = 5;
-    private static final double FAILURE_RATE = 0.5;
+    private static final double MIN_CALLS = 5;
+    private static final double MIN_FAILURE_RATE = 0.5;
 
-    /** The other targets must fail at most this part as often, or the cause lies beneath all of them. */
-    private static final double OTHERS_RATE = 0.5;
+    /** Highest failure rate of the other targets relative to this one; above it a shared dependency is the cause. */
+    private static final double MAX_OTHERS_RATIO = 0.5;
 
     private final RandomGenerator random;
     private final EventSink events;
     private final ChooserSettings settings;
-    private final FailureWindow all;
+    private final FailureCounter allCalls;
 
     OutlierDetector(RandomGenerator random, EventSink events, ChooserSettings settings, long now) {
         this.random = random;
         this.events = events;
         this.settings = settings;
-        this.all = new FailureWindow(now);
+        this.allCalls = new FailureCounter(now);
     }
 
-    /** A call went well. */
-    void onWell(TargetStats target, long now) {
-        target.ejection.onWell(now);
-        all.add(false, now);
+    /** Records a successful call. */
+    void onSuccess(TargetStats target, long now) {
+        target.ejection.onSuccess(now);
+        allCalls.add(false, now);
         onAlive(target, now);
     }
 
-    /** The target gave a sign of life: one that was unreachable, or is on probation, comes back. */
+    /** Records that the target responded; reinstates it if it was unreachable or is being probed. */
     void onAlive(TargetStats target, long now) {
         Condition condition = target.ejection.condition(now);
         if (condition != Condition.PROBED && condition != Condition.UNREACHABLE) {
             return;
         }
-        target.ejection.comeBack(now);
-        target.forgetLatency();
-        target.startCold(now, settings.ramp().toNanos());
+        target.ejection.reinstate(now);
+        target.resetLatency();
+        target.startRamp(now, settings.ramp().toNanos());
         events.record(EventKind.TARGET_RETURNED, target.record().node().id().value(), "takes calls again");
     }
 
-    /** A call failed; {@code targets} are those of the service, of which {@code ready} are ready. */
+    /**
+     * Records a failed call and ejects the target if it is an outlier or its probe failed.
+     *
+     * @param targets all known targets of the service
+     * @param ready number of ready targets of the service
+     */
     void onFailed(TargetStats target, Collection<TargetStats> targets, int ready, long now) {
         target.ejection.onFailed(now);
-        all.add(true, now);
+        allCalls.add(true, now);
         Condition condition = target.ejection.condition(now);
         if (condition == Condition.PROBED) {
             eject(target, false, "its probe failed", now);
@@ -65,27 +70,28 @@
         }
     }
 
-    /** Nobody takes connections there, or the connection was lost. */
+    /** Ejects the target because it accepts no connections or the connection to its node was lost. */
     void onUnreachable(TargetStats target, String cause, long now) {
         eject(target, true, cause, now);
     }
 
     private boolean isOutlier(TargetStats target, long now) {
-        FailureWindow own = target.ejection.window;
-        double calls = own.calls(now);
-        double rate = own.failures(now) / calls;
-        boolean often = calls >= FEWEST_CALLS && rate >= FAILURE_RATE;
-        if (!often && target.ejection.consecutive() < settings.consecutiveFailures()) {
+        FailureCounter counter = target.ejection.failures;
+        double calls = counter.calls(now);
+        double rate = counter.failures(now) / calls;
+        boolean exceedsRate = calls >= MIN_CALLS && rate >= MIN_FAILURE_RATE;
+        if (!exceedsRate && target.ejection.consecutiveFailures() < settings.consecutiveFailures()) {
             return false;
         }
-        double otherCalls = all.calls(now) - calls;
-        double otherRate = otherCalls < 1 ? 0 : (all.failures(now) - own.failures(now)) / otherCalls;
-        return otherRate <= OTHERS_RATE * rate;
+        double otherCalls = allCalls.calls(now) - calls;
+        double otherRate = otherCalls < 1 ? 0 : (allCalls.failures(now) - counter.failures(now)) / otherCalls;
+        return otherRate <= MAX_OTHERS_RATIO * rate;
     }
 
     private boolean mayEject(Collection<TargetStats> targets, int ready) {
-        long out = targets.stream().filter(target -> target.ejection.isOut()).count();
-        return out + 1 <= Math.floor(settings.maxEjectedShare() * ready);
+        long ejected =
+                targets.stream().filter(target -> target.ejection.isEjected()).count();
+        return ejected + 1 <= Math.floor(settings.maxEjectedShare() * ready);
     }
 
     private void eject(TargetStats target, boolean unreachable, String cause, long now) {
--- a/src/main/java/io/beryldock/routing/ServiceTargets.java
+++ b/src/main/java/io/beryldock/routing/ServiceTargets.java
@@ -19,27 +19,27 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What this node knows of the targets of one service, and the choice among them.
+ * State of the targets of one service as seen by this node, and the choice among them.
  *
  * <p>Thread safe: one lock, held for about a microsecond.
  */
 final class ServiceTargets {
 
-    /** Share of second attempts that leave the own data centre: what failed may be the whole of it. */
-    private static final double RETRY_SPILL = 0.5;
+    /** Least share of retries that go to other data centres, since the whole local one may have failed. */
+    private static final double RETRY_SPILL_SHARE = 0.5;
 
     private final Distances distances;
     private final RandomGenerator random;
     private final ChooserSettings settings;
-    private final OutlierDetector outliers;
+    private final OutlierDetector outlierDetector;
     private final Map<Key, TargetStats> stats = new HashMap<>();
     private final List<List<TargetStats>> tiers = new ArrayList<>();
-    private final UsualTimes usual = new UsualTimes();
-    private final ReturnMemory returns = new ReturnMemory();
-    private final TargetDraw draw;
-    private final CentreWaits waits;
+    private final ServiceBaseline baseline = new ServiceBaseline();
+    private final FlapHistory flaps = new FlapHistory();
+    private final TargetSelector selector;
+    private final QueueWaitEstimator queueWaits;
     private final SpillShare spill;
-    private final PauseDetector pauses;
+    private final PauseDetector pauseDetector;
     private ImmutableList<TargetRecord> current = ImmutableList.of();
     private int distanceVersion = -1;
     private int ready;
@@ -48,11 +48,11 @@
         this.distances = distances;
         this.random = random;
         this.settings = settings;
-        this.outliers = new OutlierDetector(random, events, settings, now);
-        this.draw = new TargetDraw(random, settings.placement().cost(), usual);
-        this.waits = new CentreWaits(settings.crossingPrice().toNanos() + distances.nearNanos());
-        this.spill = new SpillShare(now, waits);
-        this.pauses = new PauseDetector(now);
+        this.outlierDetector = new OutlierDetector(random, events, settings, now);
+        this.selector = new TargetSelector(random, settings.placement().cost(), baseline);
+        this.queueWaits = new QueueWaitEstimator(settings.crossingPrice().toNanos() + distances.nearRoundTripNanos());
+        this.spill = new SpillShare(now, queueWaits);
+        this.pauseDetector = new PauseDetector(now);
         for (int i = 0; i < Distances.TIERS; i++) {
             tiers.add(new ArrayList<>());
         }
@@ -63,7 +63,8 @@
             return new Key(target.node().id(), target.node().incarnation());
         }
 
-        // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+        // Written by hand: the generated equals of a record is an invokedynamic call, which the C1 compiler used by
+        // nodes does not inline.
         @Override
         public boolean equals(Object other) {
             return other instanceof Key that && node.equals(that.node) && incarnation.equals(that.incarnation);
@@ -75,20 +76,21 @@
         }
     }
 
-    synchronized Optional<TargetRecord> choose(ImmutableList<TargetRecord> targets, Barred barred, long now) {
-        pauses.onEvent(now);
+    synchronized Optional<TargetRecord> choose(
+            ImmutableList<TargetRecord> targets, ChoiceConstraints constraints, long now) {
+        pauseDetector.onEvent(now);
         refresh(targets, now);
-        TargetStats chosen = chooseByTier(barred, now);
+        TargetStats chosen = chooseByTier(constraints, now);
         if (chosen == null) {
-            chosen = anyReady(barred);
+            chosen = chooseAnyReady(constraints);
         }
         return Optional.ofNullable(chosen).map(TargetStats::record);
     }
 
-    /** A target that is known to have free slots now, for a call that a full one has refused. */
-    synchronized Optional<TargetRecord> chooseFree(Barred barred, long now) {
+    /** A target that is known to have free slots, for a call that a full target has refused. */
+    synchronized Optional<TargetRecord> chooseFree(ChoiceConstraints constraints, long now) {
         for (List<TargetStats> tier : tiers) {
-            TargetStats found = draw.drawFree(tier, barred, now);
+            TargetStats found = selector.selectFree(tier, constraints, now);
             if (found != null) {
                 return Optional.of(found.record());
             }
@@ -96,13 +98,13 @@
         return Optional.empty();
     }
 
-    private TargetStats chooseByTier(Barred barred, long now) {
-        boolean ownFirst = random.nextDouble() >= leavingShare(barred, now);
-        int[] order = ownFirst
+    private TargetStats chooseByTier(ChoiceConstraints constraints, long now) {
+        boolean localFirst = random.nextDouble() >= spillProbability(constraints, now);
+        int[] order = localFirst
                 ? new int[] {Distances.OWN, Distances.NEAR, Distances.FAR}
                 : new int[] {Distances.NEAR, Distances.OWN, Distances.FAR};
         for (int tier : order) {
-            TargetStats found = draw.draw(tiers.get(tier), barred, now);
+            TargetStats found = selector.select(tiers.get(tier), constraints, now);
             if (found != null) {
                 return found;
             }
@@ -110,79 +112,84 @@
         return null;
     }
 
-    private double leavingShare(Barred barred, long now) {
-        double leaving = barred.isRetry() ? Math.max(RETRY_SPILL, spill.value(now)) : spill.value(now);
+    private double spillProbability(ChoiceConstraints constraints, long now) {
+        double probability = constraints.isRetry() ? Math.max(RETRY_SPILL_SHARE, spill.value(now)) : spill.value(now);
         if (!settings.placement().usesReports()) {
-            return leaving;
+            return probability;
         }
-        // Targets that all have just come back, as after a cut, would otherwise be met by all calls at once.
-        double warmth = draw.warmth(tiers.get(Distances.OWN), barred, now);
-        return Math.max(leaving, 1 - warmth);
+        // Protects local targets that all returned at the same time, as after a network partition, from getting the
+        // whole load at once: their ramp share limits the share of calls that stay local.
+        double rampShare = selector.maxRampShare(tiers.get(Distances.OWN), constraints, now);
+        return Math.max(probability, 1 - rampShare);
     }
 
-    /** The last resort: a wrong ejection must not shut a service out, and a refused connection costs little. */
-    private TargetStats anyReady(Barred barred) {
-        List<TargetStats> open = new ArrayList<>();
+    /**
+     * Any ready target, also an ejected one, as a last resort.
+     *
+     * <p>A wrong ejection must not make a service unavailable, and a refused connection costs little.
+     */
+    private TargetStats chooseAnyReady(ChoiceConstraints constraints) {
+        List<TargetStats> allowed = new ArrayList<>();
         for (List<TargetStats> tier : tiers) {
             for (TargetStats target : tier) {
-                if (!barred.contains(target.record().node().id())) {
-                    open.add(target);
+                if (!constraints.excludes(target.record().node().id())) {
+                    allowed.add(target);
                 }
             }
         }
-        return open.isEmpty() ? null : open.get(random.nextInt(open.size()));
+        return allowed.isEmpty() ? null : allowed.get(random.nextInt(allowed.size()));
     }
 
-    /** A directory never changes its lists, so the same list means the same targets. */
+    /** Updates the state from the directory, whose lists are immutable: the same list instance has the same targets. */
     @SuppressWarnings("ReferenceEquality")
     private void refresh(ImmutableList<TargetRecord> targets, long now) {
         boolean unchanged = targets == current && distanceVersion == distances.version();
         if (unchanged) {
             return;
         }
-        boolean first = stats.isEmpty();
+        boolean isFirstRefresh = stats.isEmpty();
         distanceVersion = distances.version();
         current = targets;
         tiers.forEach(List::clear);
         ready = 0;
-        Map<Key, TargetStats> old = new HashMap<>(stats);
+        Map<Key, TargetStats> previous = new HashMap<>(stats);
         stats.values().removeIf(target -> target.inFlight() == 0);
         for (TargetRecord target : targets) {
             if (target.state() == TargetState.READY) {
-                addReady(target, old.get(Key.of(target)), first, now);
+                addReady(target, previous.get(Key.of(target)), isFirstRefresh, now);
             }
         }
     }
 
-    private void addReady(TargetRecord target, TargetStats known, boolean first, long now) {
-        TargetStats kept = known == null ? new TargetStats(target, now) : known;
+    private void addReady(TargetRecord target, TargetStats known, boolean isFirstRefresh, long now) {
+        TargetStats entry = known == null ? new TargetStats(target, now) : known;
         if (known == null) {
-            onAppeared(kept, first, now);
+            onAdded(entry, isFirstRefresh, now);
         }
-        if (target.revision() != kept.record().revision() && mayProbeAtOnce(kept)) {
-            kept.ejection.probeNow(now);
+        if (target.revision() != entry.record().revision() && mayProbeImmediately(entry)) {
+            entry.ejection.probeNow(now);
         }
-        kept.update(target);
-        stats.put(Key.of(target), kept);
-        tiers.get(distances.tier(target.node().dataCentre())).add(kept);
+        entry.update(target);
+        stats.put(Key.of(target), entry);
+        tiers.get(distances.tier(target.node().dataCentre())).add(entry);
         ready++;
     }
 
-    private void onAppeared(TargetStats target, boolean first, long now) {
-        int slower = returns.onReturn(target.record().node().id(), now);
-        if (!first) {
-            int times = settings.placement().usesReports() ? slower : 1;
-            target.startCold(now, settings.ramp().toNanos() * times);
+    private void onAdded(TargetStats target, boolean isFirstRefresh, long now) {
+        int rampFactor = flaps.onReturn(target.record().node().id(), now);
+        if (!isFirstRefresh) {
+            int factor = settings.placement().usesReports() ? rampFactor : 1;
+            target.startRamp(now, settings.ramp().toNanos() * factor);
         }
     }
 
-    /** News of a target ends its ejection, but not of one that goes and comes by turns. */
-    private boolean mayProbeAtOnce(TargetStats target) {
+    /** Whether a new revision of its directory record ends the target's ejection; it does not for a flapping target. */
+    private boolean mayProbeImmediately(TargetStats target) {
         return !settings.placement().usesReports() || !target.ejection.isRepeated();
     }
 
     synchronized void onStart(TargetRecord target, long now) {
-        pauses.onEvent(now);
+        pauseDetector.onEvent(now);
         TargetStats known = stats.get(Key.of(target));
         if (known != null) {
             known.onStart(now);
@@ -190,43 +197,43 @@
     }
 
     synchronized void onResult(TargetRecord target, CallResult result, long latencyNanos, CallKind kind, long now) {
-        pauses.onEvent(now);
+        pauseDetector.onEvent(now);
         TargetStats known = stats.get(Key.of(target));
         if (known == null) {
             return;
         }
         known.onEnd(now);
-        CallSign sign = CallSign.of(result, latencyNanos, usual.latencyNanos());
-        noteLoad(known, result, latencyNanos, now);
-        notePressure(known, result, sign, now);
-        switch (sign) {
-            case WELL -> onWell(known, latencyNanos, kind, now);
-            case FULL -> outliers.onAlive(known, now);
+        HealthSignal signal = HealthSignal.of(result, latencyNanos, baseline.latencyNanos());
+        recordLoad(known, result, latencyNanos, now);
+        recordPressure(known, result, signal, now);
+        switch (signal) {
+            case WELL -> onSuccess(known, latencyNanos, kind, now);
+            case FULL -> outlierDetector.onAlive(known, now);
             case LEAVING -> known.onLeaving(now);
             case FAILED -> onFailed(known, latencyNanos, kind, now);
-            case UNREACHABLE -> outliers.onUnreachable(known, "no connection could be made", now);
+            case UNREACHABLE -> outlierDetector.onUnreachable(known, "no connection could be made", now);
             default -> {}
         }
     }
 
-    /** A report that waited in this node's buffers while it was paused tells of a time before. */
-    private void noteLoad(TargetStats target, CallResult result, long latencyNanos, long now) {
-        boolean used = settings.placement().usesReports() && !pauses.hasPausedSince(now - latencyNanos);
+    /** Ignores a report that may have waited in the buffers of this node during a pause, since it is outdated. */
+    private void recordLoad(TargetStats target, CallResult result, long latencyNanos, long now) {
+        boolean used = settings.placement().usesReports() && !pauseDetector.hasPausedSince(now - latencyNanos);
         if (!used || result.load().isEmpty()) {
             return;
         }
         TargetLoad load = result.load().get();
         target.reported.onReport(load, now);
-        usual.onReport(load);
-        waits.onReport(isOwn(target), load, now);
+        baseline.onReport(load);
+        queueWaits.onReport(isLocal(target), load, now);
     }
 
-    private boolean isOwn(TargetStats target) {
+    private boolean isLocal(TargetStats target) {
         return distances.tier(target.record().node().dataCentre()) == Distances.OWN;
     }
 
-    private void notePressure(TargetStats target, CallResult result, CallSign sign, long now) {
-        if (sign != CallSign.WELL && sign != CallSign.FULL) {
+    private void recordPressure(TargetStats target, CallResult result, HealthSignal signal, long now) {
+        if (signal != HealthSignal.WELL && signal != HealthSignal.FULL) {
             return;
         }
         for (ServiceLevel level : result.levels()) {
@@ -234,37 +241,37 @@
                 target.onLevel(level.level());
             }
         }
-        double shut = 1 - (double) target.level() / ServiceLevel.OPEN;
-        double pressure = sign == CallSign.FULL ? 1 : shut;
+        double closedShare = 1 - (double) target.level() / ServiceLevel.OPEN;
+        double pressure = signal == HealthSignal.FULL ? 1 : closedShare;
         target.onPressure(pressure, now);
-        spill.onResult(isOwn(target), pressure, now);
+        spill.onResult(isLocal(target), pressure, now);
     }
 
-    private void onWell(TargetStats target, long latencyNanos, CallKind kind, long now) {
-        outliers.onWell(target, now);
-        double relative = usual.onLatency(kind, latencyNanos);
-        target.onLatency(latencyNanos, relative, now);
+    private void onSuccess(TargetStats target, long latencyNanos, CallKind kind, long now) {
+        outlierDetector.onSuccess(target, now);
+        double relativeLatency = baseline.onLatency(kind, latencyNanos);
+        target.onLatency(latencyNanos, relativeLatency, now);
     }
 
     private void onFailed(TargetStats target, long latencyNanos, CallKind kind, long now) {
         if (latencyNanos > target.latencyNanos()) {
-            target.onLatency(latencyNanos, usual.relative(kind, latencyNanos), now);
+            target.onLatency(latencyNanos, baseline.relativeLatency(kind, latencyNanos), now);
         }
-        outliers.onFailed(target, stats.values(), ready, now);
+        outlierDetector.onFailed(target, stats.values(), ready, now);
     }
 
     synchronized void onNodeLost(NodeId node, long now) {
         for (TargetStats target : stats.values()) {
             if (target.record().node().id().equals(node)) {
-                outliers.onUnreachable(target, "the connection to its node was lost", now);
+                outlierDetector.onUnreachable(target, "the connection to its node was lost", now);
             }
         }
     }
 
     synchronized void onNodeAnswered(NodeId node, long now) {
         for (TargetStats target : stats.values()) {
-            boolean waiting = target.ejection.condition(now) == Condition.UNREACHABLE;
-            if (waiting && target.record().node().id().equals(node)) {
+            boolean unreachable = target.ejection.condition(now) == Condition.UNREACHABLE;
+            if (unreachable && target.record().node().id().equals(node)) {
                 target.ejection.probeNow(now);
             }
         }
@@ -279,10 +286,10 @@
                     target.inFlight(),
                     (long) target.latencyNanos(),
                     target.level(),
-                    target.share(now),
+                    target.rampShare(now),
                     target.reported.free(now),
                     target.reported.ageNanos(now),
-                    target.slowness(usual, now)));
+                    target.slowness(baseline, now)));
         }
     }
 
--- a/src/main/java/io/beryldock/routing/SpillShare.java
+++ b/src/main/java/io/beryldock/routing/SpillShare.java
@@ -1,44 +1,44 @@
 package io.beryldock.routing;
 
 /**
- * The share of a service's calls that leave the own data centre although it has healthy targets.
+ * Share of a service's calls that go to other data centres although the local one has healthy targets.
  *
- * <p>Rises with the difference between what the own and what the other data centres refuse, and falls back by itself,
- * slowly enough not to swing. While both refuse, calls come home quickly: crossing over helps nobody and costs bytes
- * between data centres. Where the targets report their load, the waits of both sides move it as well. Invariant:
+ * <p>The share rises while local targets refuse more than remote ones, and otherwise decays slowly enough not to
+ * oscillate. While both refuse, it falls quickly: sending calls to other data centres then gains nothing and costs
+ * bandwidth between them. Where targets report their load, the estimated queue waits change the share too. Invariant:
  * between 0 and {@link #MAX}. Not thread safe; guarded by the lock of {@link ServiceTargets}.
  */
 final class SpillShare {
 
-    /** Some calls always stay, as only they tell when the own data centre has room again. */
+    /** Below 1, because only calls that stay local show when the local data centre has capacity again. */
     static final double MAX = 0.9;
 
     private static final double GAIN_PER_SECOND = 1;
     private static final double LEAK_PER_SECOND = 0.05;
 
-    /** Return home a second while the other data centres are under full pressure too. */
-    private static final double HOME_PER_SECOND = 1;
+    /** Decay rate of the share per second while local and remote targets refuse all calls. */
+    private static final double RETURN_PER_SECOND = 1;
 
-    private static final double PRESSURE_TIME_CONSTANT = 1;
+    private static final double PRESSURE_TIME_CONSTANT_SECONDS = 1;
     private static final double MAX_STEP_SECONDS = 0.5;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** All callers of a data centre move at once, on reports that are some hundred ms old. */
+    /** Low, because all callers of a data centre react at the same time to reports that are some 100 ms old. */
     private static final double WAIT_GAIN_PER_SECOND = 0.4;
 
-    private final CentreWaits waits;
+    private final QueueWaitEstimator queueWaits;
     private double share;
-    private double near;
-    private double far;
-    private long nearUpdated;
-    private long farUpdated;
+    private double localPressure;
+    private double remotePressure;
+    private long localUpdated;
+    private long remoteUpdated;
     private long updated;
 
-    SpillShare(long now, CentreWaits waits) {
-        this.waits = waits;
+    SpillShare(long now, QueueWaitEstimator queueWaits) {
+        this.queueWaits = queueWaits;
         this.updated = now;
-        this.nearUpdated = now;
-        this.farUpdated = now;
+        this.localUpdated = now;
+        this.remoteUpdated = now;
     }
 
     double value(long now) {
@@ -46,30 +46,34 @@
         return share;
     }
 
-    /** A call ended; {@code pressure} is 1 for a refusal, else the part of work that the target's level shuts out. */
-    void onResult(boolean own, double pressure, long now) {
+    /**
+     * Records the result of a call.
+     *
+     * @param pressure 1 for a refusal, otherwise the share of work that the target's admission level excludes
+     */
+    void onResult(boolean local, double pressure, long now) {
         advance(now);
-        if (own) {
-            near = blend(near, pressure, now - nearUpdated);
-            nearUpdated = now;
+        if (local) {
+            localPressure = blend(localPressure, pressure, now - localUpdated);
+            localUpdated = now;
         } else {
-            far = blend(far, pressure, now - farUpdated);
-            farUpdated = now;
+            remotePressure = blend(remotePressure, pressure, now - remoteUpdated);
+            remoteUpdated = now;
         }
     }
 
-    private static double blend(double old, double sample, long elapsedNanos) {
-        double weight = 1 - Math.exp(-Math.max(0, elapsedNanos) / NANOS_PER_SECOND / PRESSURE_TIME_CONSTANT);
-        return old + Math.max(0.05, weight) * (sample - old);
+    private static double blend(double average, double sample, long elapsedNanos) {
+        double weight = 1 - Math.exp(-Math.max(0, elapsedNanos) / NANOS_PER_SECOND / PRESSURE_TIME_CONSTANT_SECONDS);
+        return average + Math.max(0.05, weight) * (sample - average);
     }
 
     private void advance(long now) {
         double seconds = Math.min(MAX_STEP_SECONDS, Math.max(0, now - updated) / NANOS_PER_SECOND);
         updated = now;
-        double leak = waits.isKnown(now) ? 0 : LEAK_PER_SECOND;
-        double home = leak + HOME_PER_SECOND * Math.min(near, far);
-        double drive = WAIT_GAIN_PER_SECOND * waits.drive(share, now);
-        double step = GAIN_PER_SECOND * (near - far) + drive - home * share;
+        double leak = queueWaits.hasRecentReports(now) ? 0 : LEAK_PER_SECOND;
+        double returnRate = leak + RETURN_PER_SECOND * Math.min(localPressure, remotePressure);
+        double waitGain = WAIT_GAIN_PER_SECOND * queueWaits.adjustment(share, now);
+        double step = GAIN_PER_SECOND * (localPressure - remotePressure) + waitGain - returnRate * share;
         share = Math.max(0, Math.min(MAX, share + step * seconds));
     }
 }
--- a/src/main/java/io/beryldock/routing/TargetChooser.java
+++ b/src/main/java/io/beryldock/routing/TargetChooser.java
@@ -19,12 +19,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses the target of a call, from what this node's own calls have shown.
+ * Chooses the target of a call from the results of earlier calls of this node and the load reports of targets.
  *
- * <p>Own data centre first, then near ones, then other regions; within a tier two random choices by calls in flight,
- * latency of late, time without progress and refusals. A target that fails is left out for a time, one that refuses
- * gets less, a new one comes to its share slowly. Only ready targets are chosen, and one is chosen as long as there is
- * any that is neither excluded nor drained. State exists for each service that this node calls. Thread safe.
+ * <p>The local data centre comes first, then near ones, then other regions. Within a tier the cheaper of two random
+ * targets is chosen, by the cost of the configured {@link Placement}. A failing target is ejected for a time, a target
+ * that refuses calls gets fewer, and the share of a new target ramps up slowly. Only ready targets are chosen, and one
+ * is chosen as long as any is neither excluded nor drained. State is kept for each service that this node calls.
+ * Thread safe.
  */
 public final class TargetChooser {
 
@@ -50,7 +51,7 @@
     }
 
     /**
-     * A target for the next attempt; empty when no ready target is left.
+     * Chooses a target for the next attempt; empty when no ready target is left.
      *
      * @param excluded nodes that the call was already sent to
      * @param drained nodes that an operator drains
@@ -61,34 +62,34 @@
     }
 
     /**
-     * A target for the next attempt of a call that may or may not be used as a probe.
+     * Chooses a target for the next attempt of a call that may or may not be used as a probe.
      *
-     * @param mayProbe false keeps the call from targets that were ejected and not proved well, as one that must not be
-     *     repeated would end UNKNOWN there
+     * @param mayProbe false keeps the call away from targets whose ejection no successful probe has ended yet, as long
+     *     as there are others: a call that must not be repeated could end there with outcome UNKNOWN
      */
     public Optional<TargetRecord> choose(
             Directory directory, ServiceName service, Set<NodeId> excluded, Set<NodeId> drained, boolean mayProbe) {
         ImmutableList<TargetRecord> targets = directory.targetsOf(service);
-        ServiceTargets known = services.get(service);
-        if (known == null) {
+        ServiceTargets state = services.get(service);
+        if (state == null) {
             if (targets.isEmpty()) {
                 return Optional.empty();
             }
-            known = services.computeIfAbsent(service, name -> newService());
+            state = services.computeIfAbsent(service, name -> newService());
         }
-        return known.choose(targets, new Barred(excluded, drained, mayProbe), ticker.nanos());
+        return state.choose(targets, new ChoiceConstraints(excluded, drained, mayProbe), ticker.nanos());
     }
 
     /**
-     * A target with slots that are known to be free, for a call that a full target has refused; empty when none is
-     * known or reports of load are not used.
+     * Chooses a target that is known to have free slots, for a call that a full target has refused; empty when none is
+     * known or load reports are not used.
      */
     public Optional<TargetRecord> chooseFree(ServiceName service, Set<NodeId> excluded, Set<NodeId> drained) {
-        ServiceTargets known = services.get(service);
-        if (known == null) {
+        ServiceTargets state = services.get(service);
+        if (state == null) {
             return Optional.empty();
         }
-        return known.chooseFree(new Barred(excluded, drained, false), ticker.nanos());
+        return state.chooseFree(new ChoiceConstraints(excluded, drained, false), ticker.nanos());
     }
 
     private ServiceTargets newService() {
@@ -99,46 +100,46 @@
         return new SplittableRandom(random.nextLong());
     }
 
-    /** A call was sent to the target; each start is followed by one {@link #onResult}. */
+    /** Records that a call was sent to the target; exactly one {@link #onResult} must follow. */
     public void onStart(TargetRecord target) {
-        ServiceTargets known = services.get(target.service());
-        if (known != null) {
-            known.onStart(target, ticker.nanos());
+        ServiceTargets state = services.get(target.service());
+        if (state != null) {
+            state.onStart(target, ticker.nanos());
         }
     }
 
-    /** A call of a kind that nothing is known of ended. */
+    /** Records the result of a call of unknown kind. */
     public void onResult(TargetRecord target, CallResult result, long latencyNanos) {
         onResult(target, result, latencyNanos, CallKind.ANY);
     }
 
-    /** A call to the target ended. */
+    /** Records the result of a call to the target. */
     public void onResult(TargetRecord target, CallResult result, long latencyNanos, CallKind kind) {
-        ServiceTargets known = services.get(target.service());
-        if (known != null) {
-            known.onResult(target, result, latencyNanos, kind, ticker.nanos());
+        ServiceTargets state = services.get(target.service());
+        if (state != null) {
+            state.onResult(target, result, latencyNanos, kind, ticker.nanos());
         }
     }
 
-    /** The connection to the node was lost or makes no progress: its target gets no calls until a probe goes well. */
+    /** Ejects the node's targets until a probe succeeds, since its connection was lost or makes no progress. */
     public void onNodeLost(NodeId node) {
         services.values().forEach(service -> service.onNodeLost(node, ticker.nanos()));
     }
 
-    /** The node answers on a connection again: its target is probed by the next call. */
+    /** Lets the next call probe the node's targets, since the node answers on a connection again. */
     public void onNodeAnswered(NodeId node) {
         services.values().forEach(service -> service.onNodeAnswered(node, ticker.nanos()));
     }
 
-    /** A round trip to a node of another data centre was measured. */
+    /** Records a measured round trip to a node of another data centre. */
     public void onRoundTrip(DataCentre other, long nanos) {
         distances.onRoundTrip(other, nanos);
     }
 
-    /** The share of the service's calls that leave the own data centre though it has healthy targets, 0 to 1. */
+    /** Share of the service's calls that go to other data centres though the local one has healthy targets, 0 to 1. */
     public double spillShare(ServiceName service) {
-        ServiceTargets known = services.get(service);
-        return known == null ? 0 : known.spillShare(ticker.nanos());
+        ServiceTargets state = services.get(service);
+        return state == null ? 0 : state.spillShare(ticker.nanos());
     }
 
     /** Services that this node calls. */
@@ -146,7 +147,7 @@
         return ImmutableSet.copyOf(services.keySet());
     }
 
-    /** What is known of each target, by service and node. */
+    /** The state of each target, ordered by service and node. */
     public ImmutableList<TargetHealth> snapshot() {
         ImmutableList.Builder<TargetHealth> list = ImmutableList.builder();
         services.values().forEach(service -> service.addHealth(list, ticker.nanos()));
--- a/src/main/java/io/beryldock/routing/TargetHealth.java
+++ b/src/main/java/io/beryldock/routing/TargetHealth.java
@@ -4,16 +4,16 @@
 import io.beryldock.call.ServiceName;
 
 /**
- * What a node thinks of one target, for operators. Immutable.
+ * State of one target as seen by one node, for operators. Immutable.
  *
- * @param condition whether it takes calls
- * @param inFlight calls from this node
- * @param latencyNanos moving average of its answers' latency, 0 when unknown
+ * @param condition whether the target gets calls from this node
+ * @param inFlight calls in flight from this node
+ * @param latencyNanos moving average of the latency of its answers, 0 when unknown
  * @param level the admission level that its last answer reported
- * @param share its weight in the choice, 0 to 1, below 1 while it is cold
- * @param freeSlots slots that are free by its newest report and the calls sent since, 0 when unknown
- * @param reportAgeNanos time since its newest report of load, -1 when there is none
- * @param slowness times the usual that a call of the same kind takes there, 1 when nothing is known
+ * @param share its weight in the choice, 0 to 1; below 1 while it ramps up
+ * @param freeSlots free slots of its latest load report minus the calls sent since, 0 when unknown
+ * @param reportAgeNanos age of its latest load report, -1 when there is none
+ * @param slowness latency relative to the average of calls of the same kind, 1 when unknown
  */
 public record TargetHealth(
         NodeId node,
@@ -27,10 +27,10 @@
         long reportAgeNanos,
         double slowness) {
 
-    /** Whether a target takes calls from this node. */
+    /** Whether a target gets calls from this node. */
     public enum Condition {
         HEALTHY,
-        /** Its ejection is over; one call at a time shows whether it is well. */
+        /** The ejection time is over; one call at a time tests whether the target is healthy. */
         PROBED,
         EJECTED,
         /** The connection to its node was lost. */
--- a/src/main/java/io/beryldock/routing/TargetStats.java
+++ b/src/main/java/io/beryldock/routing/TargetStats.java
@@ -7,25 +7,26 @@
 import java.time.Duration;
 
 /**
- * What this node has seen of one start of one target.
+ * Statistics of one incarnation of a target, collected from the calls of this node.
  *
- * <p>Invariant: calls in flight are never below 0. Not thread safe; guarded by the lock of {@link ServiceTargets}.
+ * <p>Invariant: the number of calls in flight is never negative. Not thread safe; guarded by the lock of
+ * {@link ServiceTargets}.
  */
 final class TargetStats {
 
-    /** Share of draws that a cold target starts with. */
-    static final double FIRST_SHARE = 0.1;
+    /** Ramp share that a cold target starts with. */
+    static final double INITIAL_RAMP_SHARE = 0.1;
 
     private static final double LATENCY_TIME_CONSTANT_NANOS = 5e9;
-    private static final double LEAST_SAMPLE_WEIGHT = 0.3;
-    private static final double LEAST_SLOWNESS_WEIGHT = 0.1;
+    private static final double MIN_LATENCY_WEIGHT = 0.3;
+    private static final double MIN_SLOWNESS_WEIGHT = 0.1;
     private static final double PRESSURE_TIME_CONSTANT_NANOS = 2e9;
     private static final double PRESSURE_SAMPLE_WEIGHT = 0.3;
 
-    /** A target that refuses everything looks this many times as loaded, and one more. */
+    /** Cost increase of a target that refuses all calls, as a multiple of its cost without refusals. */
     private static final double PRESSURE_PENALTY = 8;
 
-    private static final double LEAST_SLOWNESS = 0.05;
+    private static final double MIN_SLOWNESS = 0.05;
 
     private static final long LEAVING_NANOS = Duration.ofSeconds(3).toNanos();
 
@@ -62,23 +63,23 @@
         record = newer;
     }
 
-    /** Gives the target a small share that grows to a full one within the time. */
-    void startCold(long now, long nanos) {
+    /** Starts the ramp: the share of the target grows from {@link #INITIAL_RAMP_SHARE} to 1 within the length. */
+    void startRamp(long now, long lengthNanos) {
         rampStart = now;
-        rampNanos = nanos;
+        rampNanos = lengthNanos;
     }
 
-    /** Share of draws, {@link #FIRST_SHARE} to 1. */
-    double share(long now) {
+    /** Probability that the target is accepted when it is sampled, {@link #INITIAL_RAMP_SHARE} to 1. */
+    double rampShare(long now) {
         long elapsed = now - rampStart;
-        return elapsed >= rampNanos ? 1 : FIRST_SHARE + (1 - FIRST_SHARE) * elapsed / rampNanos;
+        return elapsed >= rampNanos ? 1 : INITIAL_RAMP_SHARE + (1 - INITIAL_RAMP_SHARE) * elapsed / rampNanos;
     }
 
     boolean isLeaving(long now) {
         return now < leavingUntil;
     }
 
-    /** The target's node refused work as leaving, before the directory said so. */
+    /** Records that the node refused a call because its target is leaving, which the directory may not show yet. */
     void onLeaving(long now) {
         leavingUntil = now + LEAVING_NANOS;
     }
@@ -109,23 +110,23 @@
     }
 
     /**
-     * Notes the latency of a call.
+     * Records the latency of a call.
      *
-     * @param relative how it relates to the usual of its kind
+     * @param relativeLatency latency divided by the average of its kind
      */
-    void onLatency(long sample, double relative, long now) {
-        double faded = 1 - Math.exp(-(now - latencyUpdated) / LATENCY_TIME_CONSTANT_NANOS);
+    void onLatency(long sample, double relativeLatency, long now) {
+        double decayed = 1 - Math.exp(-(now - latencyUpdated) / LATENCY_TIME_CONSTANT_NANOS);
         if (latencyNanos == 0) {
             latencyNanos = sample;
         } else {
-            latencyNanos += Math.max(LEAST_SAMPLE_WEIGHT, faded) * (sample - latencyNanos);
+            latencyNanos += Math.max(MIN_LATENCY_WEIGHT, decayed) * (sample - latencyNanos);
         }
-        slowness += Math.max(LEAST_SLOWNESS_WEIGHT, faded) * (relative - slowness);
+        slowness += Math.max(MIN_SLOWNESS_WEIGHT, decayed) * (relativeLatency - slowness);
         latencyUpdated = now;
     }
 
-    /** Forgets the latency, which may come from the time before an ejection. */
-    void forgetLatency() {
+    /** Resets the latency, which may have been measured before an ejection. */
+    void resetLatency() {
         latencyNanos = 0;
         slowness = 1;
     }
@@ -140,86 +141,98 @@
         pressureUpdated = now;
     }
 
-    /** How much the target refused of late, 0 to 1; fades, as a refusal of long ago says nothing. */
+    /** Recent refusals by the target, 0 to 1; decays because an old refusal says nothing about the present. */
     double pressure(long now) {
         return pressure * Math.exp(-(now - pressureUpdated) / PRESSURE_TIME_CONSTANT_NANOS);
     }
 
     /**
-     * What was measured fades into what is usual: a target that was slow once is not chosen, so that no new measurement
-     * would ever show it to be well again.
+     * Average latency that decays towards the typical value.
+     *
+     * <p>Without the decay a target that was slow once would not be chosen again, so that no new measurement could show
+     * its recovery.
      */
-    private double latencyOfLate(long now, double usualNanos) {
+    private double decayedLatency(long now, double typicalNanos) {
         if (latencyNanos == 0) {
-            return usualNanos;
+            return typicalNanos;
         }
-        double kept = Math.exp(-(now - latencyUpdated) / LATENCY_TIME_CONSTANT_NANOS);
-        return usualNanos + kept * (latencyNanos - usualNanos);
+        double retained = Math.exp(-(now - latencyUpdated) / LATENCY_TIME_CONSTANT_NANOS);
+        return typicalNanos + retained * (latencyNanos - typicalNanos);
     }
 
     /**
-     * Expected cost of one more call; the lower the better.
+     * Expected cost of one more call.
      *
-     * <p>Calls in flight count with the latency of late. A target that stopped without a word is seen by the time since
-     * its last progress, long before its calls fail.
+     * <p>It is proportional to the calls in flight for each slot and to the recent latency. The time since the last
+     * progress replaces the latency when it is longer, which reveals a hanging target long before its calls time out.
      *
-     * @param usualNanos latency to assume when none is known
+     * @param typicalNanos latency to assume when none is known
      */
-    double cost(long now, double usualNanos) {
-        double latency = latencyOfLate(now, usualNanos);
+    double cost(long now, double typicalNanos) {
+        double latency = decayedLatency(now, typicalNanos);
         double stalled = inFlight == 0 ? 0 : now - lastProgress;
         double load = (inFlight + 1.0) / Math.max(1, record.slots());
         return load * Math.max(latency, stalled) * refusalFactor(now);
     }
 
-    /** How much more expensive the target is for what it refused of late; own calls go before what it reports. */
+    /** Factor by which recent refusals raise the cost; measured refusals outweigh the load that the target reports. */
     double refusalFactor(long now) {
         return 1 + PRESSURE_PENALTY * pressure(now);
     }
 
-    /** Times the usual that a call of the same kind takes here, by own calls, else by what the target reports. */
-    double slowness(UsualTimes usual, long now) {
+    /**
+     * Latency relative to the average of calls of the same kind, times the stall factor.
+     *
+     * <p>It is measured with calls of this node; as measurements age, the target's reported mean replaces them.
+     */
+    double slowness(ServiceBaseline baseline, long now) {
         double measured = latencyNanos == 0 ? 0 : 1;
-        double kept = measured * Math.exp(-(now - latencyUpdated) / LATENCY_TIME_CONSTANT_NANOS);
-        double own = kept * slowness + (1 - kept) * reportedSlowness(usual);
-        return Math.max(LEAST_SLOWNESS, own) * stall(usual, now);
+        double retained = measured * Math.exp(-(now - latencyUpdated) / LATENCY_TIME_CONSTANT_NANOS);
+        double own = retained * slowness + (1 - retained) * reportedSlowness(baseline);
+        return Math.max(MIN_SLOWNESS, own) * stallFactor(baseline, now);
     }
 
-    private double reportedSlowness(UsualTimes usual) {
+    private double reportedSlowness(ServiceBaseline baseline) {
         double mean = reported.newest().map(TargetLoad::meanNanos).orElse(0L);
-        return mean == 0 || usual.meanNanos() == 0 ? 1 : mean / usual.meanNanos();
+        return mean == 0 || baseline.meanNanos() == 0 ? 1 : mean / baseline.meanNanos();
     }
 
     /**
-     * Above 1 when calls are in flight and none made progress for too long.
+     * Factor above 1 when calls are in flight and none ended for too long.
      *
-     * <p>One call may be of the slowest kind; of several the first is expected to end in a part of that time.
+     * <p>A single call may be of the slowest kind. Of n calls in flight the first is expected to end within 1/n of the
+     * latency of that kind.
      */
-    double stall(UsualTimes usual, long now) {
-        double longest = usual.slowestNanos();
-        boolean unknown = inFlight == 0 || longest == 0;
-        return unknown ? 1 : Math.max(1, inFlight * (now - lastProgress) / longest);
+    double stallFactor(ServiceBaseline baseline, long now) {
+        double slowestNanos = baseline.slowestNanos();
+        boolean unknown = inFlight == 0 || slowestNanos == 0;
+        return unknown ? 1 : Math.max(1, inFlight * (now - lastProgress) / slowestNanos);
     }
 
-    /** Requests at the target with one more, as a share of what it runs at once. */
-    double busyShare(UsualTimes usual, long now) {
-        return (busy(usual, now) + 1) / reported.limit(record.slots());
+    /** Requests at the target including one more, divided by its concurrency limit. */
+    double requestsPerSlot(ServiceBaseline baseline, long now) {
+        return (occupiedSlots(baseline, now) + 1) / reported.limit(record.slots());
     }
 
     /**
-     * How expensive the next slot is: 1 when all are free, the number of slots at the last one, more for each place in
-     * the queue.
+     * Cost of the next slot: 1 when all slots are free, the number of slots for the last free one, and one more for
+     * each place in the queue.
      */
-    double crowding(UsualTimes usual, long now) {
+    double slotCost(ServiceBaseline baseline, long now) {
         double limit = reported.limit(record.slots());
-        double free = limit - busy(usual, now);
+        double free = limit - occupiedSlots(baseline, now);
         return free >= 1 ? limit / free : limit + 1 - free;
     }
 
-    /** Without a report the target is held to be as busy as the others, and no less than with own calls. */
-    private double busy(UsualTimes usual, long now) {
+    /**
+     * Estimated requests at the target.
+     *
+     * <p>As the report ages, the average load of the service's targets replaces it, but no less than the calls in
+     * flight from this node.
+     */
+    private double occupiedSlots(ServiceBaseline baseline, long now) {
         double weight = reported.weight(now);
-        double assumed = Math.max(inFlight, usual.busyShare() * reported.limit(record.slots()));
+        double assumed = Math.max(inFlight, baseline.requestsPerSlot() * reported.limit(record.slots()));
         return weight * reported.busy() + (1 - weight) * assumed;
     }
 }
--- a/src/main/java/io/beryldock/routing/package-info.java
+++ b/src/main/java/io/beryldock/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which target a call goes to: own data centre first, two random choices by fresh load, sick targets left out. Free of
- * HTTP, Netty and Guice.
+ * Choice of the target for a call: prefers the local data centre, compares two random targets by recent load and ejects
+ * unhealthy targets. Free of HTTP, Netty and Guice.
  */
 package io.beryldock.routing;
--- a/src/test/java/io/beryldock/routing/CallKindTest.java
+++ b/src/test/java/io/beryldock/routing/CallKindTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void callsOfOneFirstSegmentAreOfOneKind() {
+    void callsWithTheSameFirstSegmentHaveTheSameKind() {
         assertThat(kind("/maps/17?full")).isEqualTo(kind("/maps/18"));
         assertThat(kind("/maps?full")).isEqualTo(kind("/maps"));
         assertThat(kind("/maps")).isNotEqualTo(kind("/orders"));
--- a/src/test/java/io/beryldock/routing/FakeFleet.java
+++ b/src/test/java/io/beryldock/routing/FakeFleet.java
@@ -32,7 +32,7 @@
 import java.util.Set;
 import org.HdrHistogram.Histogram;
 
-/** Targets of one service with slots, queues and faults, called by several choosers on an injected clock. */
+/** Simulates targets of one service with slots, queues and faults, called by several choosers on a manual clock. */
 final class FakeFleet {
 
     static final ServiceName SERVICE = ServiceName.of("holdings");
@@ -53,16 +53,16 @@
     int answered;
     int refused;
     int failed;
-    int none;
+    int unplaced;
     int sent;
     int retriesAfterRefusal;
 
-    /** Share of calls of another kind, which take ten times as long. */
+    /** Share of calls of a second kind, which take ten times as long. */
     double longShare;
 
     Picker picker = chooser -> chooser.choose(directory, SERVICE, Set.of(), Set.of());
 
-    /** A way of choosing, so that others can be measured beside the chooser's. */
+    /** Strategy for choosing a target, so that others can be compared with that of the chooser. */
     interface Picker {
         Optional<TargetRecord> pick(TargetChooser chooser);
     }
@@ -72,7 +72,7 @@
         addCallers(OWN, seed, callers, ChooserSettings.defaults());
     }
 
-    /** Without callers as yet. */
+    /** Creates a fleet without callers. */
     FakeFleet(long seed) {
         random = new Random(seed);
     }
@@ -113,13 +113,13 @@
         directory = Directory.of(List.of(), records);
     }
 
-    /** Lets Poisson calls arrive at each caller at that rate for the time, and clears the counts before. */
+    /** Clears the counts, then lets calls arrive at each caller as a Poisson process of the given rate. */
     void run(Duration length, double callsPerSecond) {
         latency.reset();
         answered = 0;
         refused = 0;
         failed = 0;
-        none = 0;
+        unplaced = 0;
         sent = 0;
         targets.values().forEach(FakeTarget::clearCounts);
         long end = time.ticker().nanos() + length.toNanos();
@@ -144,7 +144,7 @@
                 : chooser.chooseFree(SERVICE, tried, Set.of())
                         .or(() -> chooser.choose(directory, SERVICE, tried, Set.of()));
         if (chosen.isEmpty()) {
-            none++;
+            unplaced++;
             return;
         }
         FakeTarget target = targets.get(chosen.get().node().id());
@@ -156,14 +156,14 @@
         target.receive(new FakeCall(chooser, target, triedNow, time.ticker().nanos(), isLong));
     }
 
-    /** One call under way; ends once. */
+    /** One call in flight; only its first end takes effect. */
     private final class FakeCall {
         final TargetChooser chooser;
         final FakeTarget target;
         final Set<NodeId> tried;
         final long start;
         final boolean isLong;
-        boolean over;
+        boolean ended;
 
         FakeCall(TargetChooser chooser, FakeTarget target, Set<NodeId> tried, long start, boolean isLong) {
             this.isLong = isLong;
@@ -175,10 +175,10 @@
         }
 
         void end(CallResult result) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            over = true;
+            ended = true;
             long nanos = time.ticker().nanos() - start;
             CallKind kind = isLong ? LONG : CallKind.ANY;
             chooser.onResult(target.record, result.withLoad(target.load()), nanos, kind);
@@ -201,20 +201,20 @@
         }
     }
 
-    /** A target: so many slots, a queue as long as the slots, exponential service times of 20 ms. */
+    /** A target with slots, a queue of as many places and exponential service times with a mean of 20 ms. */
     final class FakeTarget {
         final TargetRecord record;
         private final Queue<FakeCall> queue = new ArrayDeque<>();
         int calls;
         double slowness = 1;
 
-        /** Occupancy from which it is slower, and how many times. */
+        /** Occupancy above which the target is slower by the factor {@link #kneeSlowness}. */
         double knee = 1;
 
         double kneeSlowness = 1;
         double busyNanos;
-        boolean liesToBeFree;
-        boolean stopped;
+        boolean reportsFreeSlots;
+        boolean hanging;
         boolean refusesConnections;
         boolean failsCalls;
         private int running;
@@ -226,7 +226,7 @@
         }
 
         void receive(FakeCall call) {
-            if (stopped) {
+            if (hanging) {
                 return;
             }
             if (refusesConnections) {
@@ -244,8 +244,8 @@
 
         private void start(FakeCall call) {
             running++;
-            double crowded = running > knee * record.slots() ? kneeSlowness : 1;
-            double mean = MEAN_NANOS * slowness * crowded * (call.isLong ? LONG_TIMES : 1);
+            double kneeFactor = running > knee * record.slots() ? kneeSlowness : 1;
+            double mean = MEAN_NANOS * slowness * kneeFactor * (call.isLong ? LONG_TIMES : 1);
             long nanos = (long) (-Math.log(1 - random.nextDouble()) * mean);
             busyNanos += nanos;
             meanNanos += (nanos - meanNanos) / 64;
@@ -253,8 +253,9 @@
         }
 
         TargetLoad load() {
-            int told = liesToBeFree ? 0 : running;
-            return new TargetLoad(++reports, record.slots(), told, queue.size(), (long) meanNanos, false, false);
+            int reportedRunning = reportsFreeSlots ? 0 : running;
+            return new TargetLoad(
+                    ++reports, record.slots(), reportedRunning, queue.size(), (long) meanNanos, false, false);
         }
 
         private void clearCounts() {
@@ -264,7 +265,7 @@
 
         private void finish(FakeCall call) {
             running--;
-            if (!stopped) {
+            if (!hanging) {
                 ServiceLevel level = new ServiceLevel(SERVICE, ServiceLevel.OPEN);
                 call.end(CallResult.answered(ok()).withLevels(ImmutableList.of(level)));
             }
--- a/src/test/java/io/beryldock/routing/PlacementReplayTest.java
+++ b/src/test/java/io/beryldock/routing/PlacementReplayTest.java
@@ -9,7 +9,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Replays 40 callers that act on the same reports at 13 targets of uneven speed that slow down when nearly full. */
+/**
+ * Simulates 40 callers that use the same reports of 13 targets, which differ in speed and slow down when nearly full.
+ */
 final class PlacementReplayTest {
 
     private static final int SLOTS = 16;
@@ -19,8 +21,8 @@
     private static final int STEPS = 16;
     private static final double LONG_SHARE = 0.02;
 
-    /** Mean time of the mix in terms of that of a short call. */
-    private static final double MIX = 1 + 9 * LONG_SHARE;
+    /** Mean service time over both kinds of calls, relative to that of a short call. */
+    private static final double MEAN_SERVICE_TIME = 1 + 9 * LONG_SHARE;
 
     private final FakeFleet fleet = new FakeFleet(7);
     private final List<FakeTarget> targets = new ArrayList<>();
@@ -42,15 +44,15 @@
     }
 
     private double callsPerSecond(double occupancy) {
-        double mean = FakeFleet.MEAN_NANOS * MIX / 1e9;
+        double mean = FakeFleet.MEAN_NANOS * MEAN_SERVICE_TIME / 1e9;
         double capacity = targets.stream()
                 .mapToDouble(target -> SLOTS / (mean * target.slowness))
                 .sum();
         return occupancy * capacity / CALLERS;
     }
 
-    /** Plays the load; in each step so many other targets are slow. */
-    private Figures play(double occupancy, int slowTargets) {
+    /** Runs the load in steps, in each of which {@code slowTargets} other targets are slow. */
+    private Figures simulate(double occupancy, int slowTargets) {
         double rate = callsPerSecond(occupancy);
         fleet.run(Duration.ofSeconds(5), rate);
         double[] busy = new double[targets.size()];
@@ -86,17 +88,17 @@
     }
 
     private static Figures oneCentre(Placement placement) {
-        PlacementReplayTest replay = new PlacementReplayTest();
-        replay.add(FakeFleet.OWN, CALLERS, 13, placement);
-        return print("one data centre, " + placement, replay.play(0.7, 2));
+        PlacementReplayTest simulation = new PlacementReplayTest();
+        simulation.add(FakeFleet.OWN, CALLERS, 13, placement);
+        return print("one data centre, " + placement, simulation.simulate(0.7, 2));
     }
 
     private static Figures threeCentres(Placement placement) {
-        PlacementReplayTest replay = new PlacementReplayTest();
-        replay.add(DataCentre.of("a"), 9, 5, placement);
-        replay.add(DataCentre.of("b"), 16, 5, placement);
-        replay.add(DataCentre.of("c"), 15, 3, placement);
-        return print("three data centres, " + placement, replay.play(0.7, 0));
+        PlacementReplayTest simulation = new PlacementReplayTest();
+        simulation.add(DataCentre.of("a"), 9, 5, placement);
+        simulation.add(DataCentre.of("b"), 16, 5, placement);
+        simulation.add(DataCentre.of("c"), 15, 3, placement);
+        return print("three data centres, " + placement, simulation.simulate(0.7, 0));
     }
 
     private static Figures print(String name, Figures figures) {
@@ -104,9 +106,9 @@
         return figures;
     }
 
-    /** Guards against callers that refuse while slots elsewhere are free, when targets turn slow by turns. */
+    /** Guards against calls that are refused while other targets have free slots, when targets become slow in turn. */
     @Test
-    void reportedLoadLeavesFewerCallsWithoutASlot() {
+    void reportedLoadReducesRefusals() {
         Figures own = oneCentre(Placement.OWN_CALLS);
         Figures completion = oneCentre(Placement.COMPLETION);
         Figures free = oneCentre(Placement.FREE_SLOTS);
@@ -115,9 +117,11 @@
         assertThat(completion.busiestToMean()).isLessThan(1.15);
     }
 
-    /** Guards against a data centre that is full while another, with more targets and fewer callers, has free slots. */
+    /**
+     * Guards against a data centre that is full while another one with more targets and fewer callers has free slots.
+     */
     @Test
-    void dataCentresLendAndBorrow() {
+    void loadIsBalancedAcrossDataCentres() {
         Figures own = threeCentres(Placement.OWN_CALLS);
         Figures completion = threeCentres(Placement.COMPLETION);
         assertThat(completion.busiestToMean()).isLessThan(1.15).isLessThan(own.busiestToMean());
@@ -125,29 +129,29 @@
         assertThat(completion.p95Millis()).isLessThan(own.p95Millis());
     }
 
-    /** Guards against a target that draws calls by reporting free slots while it is full or fails. */
+    /** Guards against a target that attracts calls by reporting free slots while it is slow or failing. */
     @Test
-    void ownCallsGoBeforeReports() {
+    void measuredCallsOutweighReports() {
         add(FakeFleet.OWN, CALLERS, 13, Placement.COMPLETION);
         FakeTarget slow = targets.get(0);
-        slow.liesToBeFree = true;
+        slow.reportsFreeSlots = true;
         slow.slowness = 20;
         FakeTarget failing = targets.get(1);
-        failing.liesToBeFree = true;
+        failing.reportsFreeSlots = true;
         failing.failsCalls = true;
         fleet.run(Duration.ofSeconds(5), callsPerSecond(0.5));
         fleet.run(Duration.ofSeconds(5), callsPerSecond(0.5));
-        double fair = fleet.sent / 13.0;
-        assertThat(slow.calls / fair).isLessThan(0.1);
-        assertThat(failing.calls / fair).isLessThan(0.02);
+        double fairShare = fleet.sent / 13.0;
+        assertThat(slow.calls / fairShare).isLessThan(0.1);
+        assertThat(failing.calls / fairShare).isLessThan(0.02);
     }
 
-    /** Guards against calls that go on to a target that runs none and says nothing. */
+    /** Guards against calls that are still sent to a hanging target, which neither runs nor refuses them. */
     @Test
-    void aSilentTargetIsLeft() {
+    void hangingTargetIsAvoided() {
         add(FakeFleet.OWN, CALLERS, 13, Placement.COMPLETION);
         fleet.run(Duration.ofSeconds(3), callsPerSecond(0.5));
-        targets.get(0).stopped = true;
+        targets.get(0).hanging = true;
         List<Integer> perMille = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             fleet.run(Duration.ofMillis(300), callsPerSecond(0.5));
@@ -158,21 +162,22 @@
         assertThat(perMille.subList(5, 10)).allMatch(calls -> calls < 10);
     }
 
-    /** Guards against a storm at a data centre that comes back after a cut, when all its targets are cold at once. */
+    /** Guards against overload of a data centre that returns after a partition with all its targets cold. */
     @Test
-    void aReturnedDataCentreIsTakenUpSlowly() {
+    void loadOfAReturnedDataCentreRampsUp() {
         add(DataCentre.of("a"), 20, 6, Placement.COMPLETION);
         add(DataCentre.of("b"), 20, 7, Placement.COMPLETION);
-        List<FakeTarget> cut = targets.subList(0, 6);
+        List<FakeTarget> partitioned = targets.subList(0, 6);
         double rate = callsPerSecond(0.4);
         fleet.run(Duration.ofSeconds(2), rate);
-        cut.forEach(target -> target.refusesConnections = true);
+        partitioned.forEach(target -> target.refusesConnections = true);
         fleet.run(Duration.ofSeconds(10), rate);
-        cut.forEach(target -> target.refusesConnections = false);
+        partitioned.forEach(target -> target.refusesConnections = false);
         List<Integer> calls = new ArrayList<>();
         for (int second = 0; second < 30; second++) {
             fleet.run(Duration.ofSeconds(1), rate);
-            calls.add(100 * cut.stream().mapToInt(target -> target.calls).sum() / fleet.sent);
+            calls.add(
+                    100 * partitioned.stream().mapToInt(target -> target.calls).sum() / fleet.sent);
         }
         System.out.println("share of a returned data centre by second, percent: " + calls);
         assertThat(calls.get(0)).isLessThan(15);
--- a/src/test/java/io/beryldock/routing/ReportedPlacementTest.java
+++ b/src/test/java/io/beryldock/routing/ReportedPlacementTest.java
@@ -20,11 +20,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Choices where the targets' reports of load are used. */
+/** Tests the choice of targets when their load reports are used. */
 final class ReportedPlacementTest {
 
     private static final int SLOTS = 16;
-    private static final long USUAL = Duration.ofMillis(20).toNanos();
+    private static final long TYPICAL_NANOS = Duration.ofMillis(20).toNanos();
     private static final ChooserSettings SETTINGS =
             ChooserSettings.defaults().withPlacement(Placement.COMPLETION, Duration.ofMillis(10));
     private static final CallResult LOST = CallResult.unknown(Reason.CONNECTION_LOST, "");
@@ -59,14 +59,14 @@
     }
 
     private void answer(TargetRecord target, int running, boolean draining) {
-        TargetLoad load = new TargetLoad(++version, SLOTS, running, 0, USUAL, false, draining);
+        TargetLoad load = new TargetLoad(++version, SLOTS, running, 0, TYPICAL_NANOS, false, draining);
         end(target, CallResult.answered(FakeFleet.ok()).withLoad(load));
     }
 
     private void end(TargetRecord target, CallResult result) {
         chooser.onStart(target);
-        time.advance(Duration.ofNanos(USUAL));
-        chooser.onResult(target, result, USUAL);
+        time.advance(Duration.ofNanos(TYPICAL_NANOS));
+        chooser.onResult(target, result, TYPICAL_NANOS);
     }
 
     private TargetHealth health(TargetRecord target) {
@@ -76,15 +76,17 @@
                 .orElseThrow();
     }
 
-    private Optional<TargetRecord> handOn(TargetRecord... tried) {
+    private Optional<TargetRecord> chooseFree(TargetRecord... tried) {
         Set<NodeId> excluded = Set.copyOf(
                 List.of(tried).stream().map(target -> target.node().id()).toList());
         return chooser.chooseFree(FakeFleet.SERVICE, excluded, Set.of());
     }
 
-    /** Guards against calls to a target that tells with its answers that it leaves, before the directory does. */
+    /**
+     * Guards against calls to a target that reports with its answers that it is draining, before the directory does.
+     */
     @Test
-    void aReportOfDrainingIsEnough() {
+    void targetThatReportsDrainingIsNotChosen() {
         choose(all);
         answer(a, 3, true);
         assertThat(chosen(a, 100)).isZero();
@@ -92,34 +94,36 @@
         assertThat(chosen(a, 100)).isPositive();
     }
 
-    /** Guards against a refused call that waits, or is refused again, while slots elsewhere are known to be free. */
+    /**
+     * Guards against a refused call that waits or is refused again while other targets are known to have free slots.
+     */
     @Test
-    void aRefusedCallIsHandedToFreeSlots() {
+    void refusedCallIsSentToFreeSlots() {
         choose(all);
         answer(a, 0, false);
         answer(b, SLOTS, false);
         answer(c, 10, false);
-        assertThat(handOn(a)).contains(c);
-        assertThat(handOn(a, c)).isEmpty();
+        assertThat(chooseFree(a)).contains(c);
+        assertThat(chooseFree(a, c)).isEmpty();
         time.advance(Duration.ofSeconds(1));
-        assertThat(handOn()).isEmpty();
+        assertThat(chooseFree()).isEmpty();
     }
 
     @Test
-    void withoutReportsNothingIsHandedOn() {
+    void noFreeSlotsAreKnownWithoutReports() {
         chooser = chooser(1, ChooserSettings.defaults());
         choose(all);
         answer(a, 0, false);
-        assertThat(handOn()).isEmpty();
+        assertThat(chooseFree()).isEmpty();
     }
 
     /** Guards against reports that waited in this node's buffers while it was paused. */
     @Test
-    void aReportFromBeforeAPauseDoesNotCount() {
+    void reportFromBeforeAPauseIsIgnored() {
         choose(all);
         chooser.onStart(a);
         time.advance(Duration.ofSeconds(5));
-        TargetLoad old = new TargetLoad(1, SLOTS, 0, 0, USUAL, false, false);
+        TargetLoad old = new TargetLoad(1, SLOTS, 0, 0, TYPICAL_NANOS, false, false);
         CallResult result = CallResult.answered(FakeFleet.ok()).withLoad(old);
         chooser.onResult(a, result, Duration.ofSeconds(5).toNanos());
         assertThat(health(a).reportAgeNanos()).isNegative();
@@ -127,27 +131,27 @@
         assertThat(health(a).freeSlots()).isEqualTo(SLOTS - 2);
     }
 
-    /** Guards against all callers running to the one target that has just told them of its free slots. */
+    /** Guards against all callers choosing the one target that has just reported free slots to them. */
     @Test
-    void callersDoNotAllFollowTheSameNews() {
+    void callersDoNotAllFollowTheSameReport() {
         List<TargetRecord> targets = new ArrayList<>();
         for (int i = 0; i < 13; i++) {
             targets.add(ready("t" + i));
         }
         Directory directory = Directory.of(List.of(), targets);
-        int toFree = 0;
+        int choicesOfFree = 0;
         for (int caller = 0; caller < 200; caller++) {
             chooser = chooser(caller, SETTINGS);
             choose(directory);
             targets.forEach(target -> answer(target, target.equals(targets.get(0)) ? 0 : 15, false));
-            toFree += choose(directory).filter(targets.get(0)::equals).isPresent() ? 1 : 0;
+            choicesOfFree += choose(directory).filter(targets.get(0)::equals).isPresent() ? 1 : 0;
         }
-        assertThat(toFree).isBetween(15, 50);
+        assertThat(choicesOfFree).isBetween(15, 50);
     }
 
-    /** Guards against a target that goes and comes by turns and is taken up at the same speed each time. */
+    /** Guards against a flapping target whose ramp has the same length after each return. */
     @Test
-    void aTargetThatComesBackOftenIsTakenUpMoreSlowly() {
+    void rampOfAFlappingTargetGetsLonger() {
         choose(all);
         List<Double> shares = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -166,20 +170,20 @@
         assertThat(health(a).share()).isEqualTo(1);
     }
 
-    /** Guards against a flapping target whose every announcement ends the time for which it is left out. */
+    /** Guards against a flapping target whose ejection is ended by each of its announcements. */
     @Test
-    void newsEndsAFirstEjectionButNotARepeatedOne() {
+    void newRevisionEndsAFirstEjectionButNotARepeatedOne() {
         choose(all);
-        eject();
+        ejectA();
         choose(Directory.of(List.of(), List.of(revised(2), b, c)));
         assertThat(health(a).condition()).isEqualTo(Condition.PROBED);
         answer(a, 0, false);
-        eject();
+        ejectA();
         choose(Directory.of(List.of(), List.of(revised(3), b, c)));
         assertThat(health(a).condition()).isEqualTo(Condition.EJECTED);
     }
 
-    private void eject() {
+    private void ejectA() {
         for (int i = 0; i < 3; i++) {
             answer(b, 0, false);
             answer(c, 0, false);
--- a/src/test/java/io/beryldock/routing/SpillShareTest.java
+++ b/src/test/java/io/beryldock/routing/SpillShareTest.java
@@ -9,31 +9,31 @@
 
     private static final long STEP_NANOS = Duration.ofMillis(10).toNanos();
 
-    private final SpillShare share = new SpillShare(0, new CentreWaits(1));
+    private final SpillShare share = new SpillShare(0, new QueueWaitEstimator(1));
     private long now;
 
-    private double answers(Duration time, double nearPressure, double farPressure) {
+    private double recordAnswers(Duration time, double localPressure, double remotePressure) {
         long end = now + time.toNanos();
         while (now < end) {
             now += STEP_NANOS;
-            share.onResult(true, nearPressure, now);
-            share.onResult(false, farPressure, now);
+            share.onResult(true, localPressure, now);
+            share.onResult(false, remotePressure, now);
         }
         return share.value(now);
     }
 
     /**
-     * Story: a burst comes to one data centre first and to all of them a second later. Calls went on to cross over for
-     * the rest of the burst, though the other data centres refused as many.
+     * Guards against calls that keep going to other data centres although those refuse as many: a burst reaches one
+     * data centre first and all of them a second later.
      */
     @Test
-    void callsComeHomeWhileTheOthersRefuseToo() {
-        assertThat(answers(Duration.ofSeconds(2), 1, 0)).isGreaterThan(0.8);
-        assertThat(answers(Duration.ofSeconds(4), 1, 1)).isLessThan(0.15);
+    void shareFallsWhileOtherDataCentresRefuseToo() {
+        assertThat(recordAnswers(Duration.ofSeconds(2), 1, 0)).isGreaterThan(0.8);
+        assertThat(recordAnswers(Duration.ofSeconds(4), 1, 1)).isLessThan(0.15);
     }
 
     @Test
-    void callsCrossOverWhileOnlyTheOwnRefuse() {
-        assertThat(answers(Duration.ofSeconds(10), 0.5, 0)).isEqualTo(SpillShare.MAX);
+    void shareRisesWhileOnlyLocalTargetsRefuse() {
+        assertThat(recordAnswers(Duration.ofSeconds(10), 0.5, 0)).isEqualTo(SpillShare.MAX);
     }
 }
--- a/src/test/java/io/beryldock/routing/TargetChooserBenchmark.java
+++ b/src/test/java/io/beryldock/routing/TargetChooserBenchmark.java
@@ -25,7 +25,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Time of one choice, with start and end of the call, against the number of targets of the service. */
+/** Measures the time of a choice, alone and with start and end of the call, by number of targets. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -35,7 +35,7 @@
 public class TargetChooserBenchmark {
 
     private static final long LATENCY = 20_000_000;
-    private static final CallResult WELL = CallResult.answered(FakeFleet.ok())
+    private static final CallResult SUCCESS = CallResult.answered(FakeFleet.ok())
             .withLevels(ImmutableList.of(new ServiceLevel(FakeFleet.SERVICE, ServiceLevel.OPEN)));
 
     @Param({"3", "9", "30", "100", "300"})
@@ -64,11 +64,11 @@
     public TargetRecord chooseStartEnd() {
         TargetRecord target = chooseOnly();
         chooser.onStart(target);
-        chooser.onResult(target, WELL, LATENCY);
+        chooser.onResult(target, SUCCESS, LATENCY);
         return target;
     }
 
-    /** What the first choice after a change of the directory costs. */
+    /** Cost of the first choice after a change of the directory. */
     @Benchmark
     public TargetRecord chooseAfterChange() {
         Directory changed = Directory.of(List.of(), directory.targetsOf(FakeFleet.SERVICE));
--- a/src/test/java/io/beryldock/routing/TargetChooserMeasurementTest.java
+++ b/src/test/java/io/beryldock/routing/TargetChooserMeasurementTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Measures spread, tails and times to route round on an injected clock; prints each figure. */
+/** Measures load distribution, tail latency and reaction to faults on a manual clock and prints each figure. */
 class TargetChooserMeasurementTest {
 
     private static final int CALLERS = 20;
@@ -53,7 +53,7 @@
         assertThat(least * TARGETS).isGreaterThan(0.85);
     }
 
-    /** One of nine targets of a deep service turns five times slower; pages that touch it hang. */
+    /** Guards against slow requests after one of nine targets of a service becomes five times slower. */
     @Test
     void oneSlowTargetOfNine() {
         double random = slowTargetMillis("random", TargetChooserMeasurementTest::pickRandom);
@@ -106,16 +106,16 @@
         return fleet.latency.getValueAtPercentile(percentile) / 1e6;
     }
 
-    /** A new target joins; all callers see it unloaded at once, and a cold target breaks under their calls. */
+    /** Guards against the overload of a new, cold target that all callers see without load at the same time. */
     @Test
-    void newTargetComesToItsShareSlowly() {
+    void shareOfANewTargetRampsUp() {
         FakeFleet fleet = fleet(3);
         fleet.run(Duration.ofSeconds(10), RATE);
-        FakeTarget fresh = fleet.add("holdings-new", FakeFleet.OWN, SLOTS);
+        FakeTarget added = fleet.add("holdings-new", FakeFleet.OWN, SLOTS);
         List<Double> shares = new ArrayList<>();
         for (int second = 0; second < 15; second++) {
             fleet.run(Duration.ofSeconds(1), RATE);
-            shares.add(share(fleet, fresh) * (TARGETS + 1));
+            shares.add(share(fleet, added) * (TARGETS + 1));
         }
         print("new target: share of a fair one, second by second %s", rounded(shares));
         assertThat(shares.get(0)).isLessThan(0.5);
@@ -128,33 +128,33 @@
         return list.stream().map(value -> String.format("%.2f", value)).toList();
     }
 
-    /** A target's process is stopped: its connections stay open and nothing answers. Each caller must find out. */
+    /** Guards against calls to a target whose process is stopped: its connections stay open, but it does not answer. */
     @Test
-    void silentTargetIsRoutedRound() {
+    void hangingTargetIsAvoided() {
         FakeFleet fleet = fleet(4);
         fleet.run(Duration.ofSeconds(10), RATE);
-        FakeTarget silent = fleet.targets.values().iterator().next();
-        silent.stopped = true;
+        FakeTarget target = fleet.targets.values().iterator().next();
+        target.hanging = true;
         List<Integer> sent = new ArrayList<>();
         for (int second = 0; second < 10; second++) {
             fleet.run(Duration.ofSeconds(1), RATE);
-            sent.add(silent.calls);
+            sent.add(target.calls);
         }
         print("silent target: calls to it of %d a second, second by second %s", (int) (CALLERS * RATE), sent);
         assertThat(sent.get(3)).isLessThan((int) (CALLERS * RATE * 0.03));
-        silent.stopped = false;
+        target.hanging = false;
         int seconds = 0;
         do {
             fleet.run(Duration.ofSeconds(1), RATE);
             seconds++;
-        } while (share(fleet, silent) * TARGETS < 0.8 && seconds < 60);
+        } while (share(fleet, target) * TARGETS < 0.8 && seconds < 60);
         print("silent target: back at 0.8 of its share %d s after it runs again", seconds);
         assertThat(seconds).isLessThanOrEqualTo(45);
     }
 
-    /** The connection to a node breaks. Its target gets nothing from then on, and is probed once the node answers. */
+    /** After the connection to a node breaks, its target gets no calls; it is probed once the node answers again. */
     @Test
-    void lostNodeGetsNothingUntilItAnswers() {
+    void targetOfALostNodeGetsNoCallsUntilTheNodeAnswers() {
         FakeFleet fleet = fleet(5);
         fleet.run(Duration.ofSeconds(10), RATE);
         FakeTarget lost = fleet.targets.values().iterator().next();
@@ -177,9 +177,12 @@
         assertThat(seconds).isLessThanOrEqualTo(20);
     }
 
-    /** The own data centre's targets are too few for a surge while those of the other data centre are idle. */
+    /**
+     * Guards against refusals during a surge that exceeds the local targets while those of another data centre are
+     * idle.
+     */
     @Test
-    void surgeSpillsOverAndComesBack() {
+    void surgeSpillsOverAndTheShareFallsAfterwards() {
         FakeFleet fleet = new FakeFleet(6, CALLERS);
         List<FakeTarget> near = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -205,9 +208,9 @@
         assertThat(after).isGreaterThan(0.9);
     }
 
-    /** What trying elsewhere after a refusal by a full target brings, near capacity and far above it. */
+    /** Measures the benefit of retries at other targets after a refusal, at loads near capacity and far above it. */
     @Test
-    void triesElsewhereAfterARefusal() {
+    void retriesElsewhereAfterARefusal() {
         double capacity = TARGETS * SLOTS / 0.020 / CALLERS;
         List<Double> answered = new ArrayList<>();
         for (double load : new double[] {0.9, 1.0, 1.5, 3.0}) {
--- a/src/test/java/io/beryldock/routing/TargetChooserTest.java
+++ b/src/test/java/io/beryldock/routing/TargetChooserTest.java
@@ -27,8 +27,8 @@
 
 class TargetChooserTest {
 
-    private static final long USUAL = Duration.ofMillis(20).toNanos();
-    private static final CallResult WELL = CallResult.answered(FakeFleet.ok());
+    private static final long TYPICAL_NANOS = Duration.ofMillis(20).toNanos();
+    private static final CallResult SUCCESS = CallResult.answered(FakeFleet.ok());
     private static final CallResult LOST = CallResult.unknown(Reason.CONNECTION_LOST, "");
 
     private final ManualTimerService time = ManualTimerService.create();
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void onlyReadyOnesAreChosen() {
+    void onlyReadyTargetsAreChosen() {
         Directory some =
                 directory(ready("a"), ready("b"), target("c", TargetState.STARTING), target("d", TargetState.LEAVING));
         assertThat(chosenNames(some, 100)).containsExactlyInAnyOrder("a", "b");
@@ -90,30 +90,31 @@
     }
 
     /**
-     * A target is asked to leave. Nodes in other data centres hear of it a moment later and still send it calls, which
-     * its gate refuses. Each caller stops at its first refusal, not when the news arrives.
+     * Guards against calls to a target that is shutting down: nodes in other data centres learn of it late and still
+     * send it calls, which its gate refuses. Each caller must stop after the first refusal, before the directory
+     * changes.
      */
     @Test
-    void aRefusalOfALeavingTargetIsEnough() {
+    void leavingTargetIsAvoidedAfterItsFirstRefusal() {
         Directory two = directory(ready("a"), ready("b"));
         choose(two);
-        end(ready("a"), CallResult.notRun(Reason.DRAINING, ""), USUAL);
+        end(ready("a"), CallResult.notRun(Reason.DRAINING, ""), TYPICAL_NANOS);
         assertThat(chosenNames(two, 100)).containsExactly("b");
         time.advance(Duration.ofSeconds(4));
         assertThat(chosenNames(two, 100)).contains("a");
     }
 
     /**
-     * A target fails every call at once while others work. It has the shortest queue and the fastest answers, so that
-     * it would draw all calls; it must be left out, and come back by a probe.
+     * Guards against a target that fails each call immediately and attracts all calls, since it has the shortest queue
+     * and the fastest answers. It must be ejected, and reinstated after a successful probe.
      */
     @Test
-    void aFastFailingTargetIsEjectedAndProbed() {
+    void fastFailingTargetIsEjectedAndProbed() {
         Directory three = directory(ready("a"), ready("b"), ready("c"));
         choose(three);
         for (int i = 0; i < 3; i++) {
-            end(ready("b"), WELL, USUAL);
-            end(ready("c"), WELL, USUAL);
+            end(ready("b"), SUCCESS, TYPICAL_NANOS);
+            end(ready("c"), SUCCESS, TYPICAL_NANOS);
             end(ready("a"), LOST, 1);
         }
         assertThat(condition(ready("a"))).isEqualTo(Condition.EJECTED);
@@ -124,11 +125,11 @@
         time.advance(Duration.ofMillis(1500));
         assertThat(condition(ready("a"))).isEqualTo(Condition.EJECTED);
         time.advance(Duration.ofMillis(1500));
-        end(ready("a"), WELL, USUAL);
+        end(ready("a"), SUCCESS, TYPICAL_NANOS);
         assertThat(condition(ready("a"))).isEqualTo(Condition.HEALTHY);
     }
 
-    /** While a probe is out no other call goes to the target, so that a sick one costs one call at a time. */
+    /** While a probe is in flight, the target gets no other call, so that an unhealthy one fails one call at a time. */
     @Test
     void oneProbeAtATime() {
         Directory two = directory(ready("a"), ready("b"));
@@ -141,11 +142,11 @@
     }
 
     /**
-     * The database beneath a service is down: all its targets fail alike. Leaving targets out would not help, it would
-     * put the load of all on a few.
+     * Guards against ejections when a shared dependency, such as the database of a service, fails and all targets fail
+     * with it: ejections would only concentrate the load on a few targets.
      */
     @Test
-    void aFailureOfAllEjectsNone() {
+    void commonFailureEjectsNoTarget() {
         List<TargetRecord> all = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             all.add(ready("t" + i));
@@ -153,32 +154,32 @@
         Directory nine = directory(all.toArray(TargetRecord[]::new));
         choose(nine);
         for (int i = 0; i < 20; i++) {
-            all.forEach(target -> end(target, LOST, USUAL));
+            all.forEach(target -> end(target, LOST, TYPICAL_NANOS));
         }
         assertThat(all).allMatch(target -> condition(target) == Condition.HEALTHY);
     }
 
     @Test
-    void atMostHalfAreEjectedForFailures() {
+    void atMostHalfOfTheTargetsAreEjectedForFailures() {
         List<TargetRecord> all = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             all.add(ready("t" + i));
         }
         Directory nine = directory(all.toArray(TargetRecord[]::new));
         choose(nine);
-        for (int sick = 0; sick < 8; sick++) {
+        for (int failing = 0; failing < 8; failing++) {
             for (int i = 0; i < 40; i++) {
-                end(all.get(8), WELL, USUAL);
+                end(all.get(8), SUCCESS, TYPICAL_NANOS);
             }
             for (int i = 0; i < 6; i++) {
-                end(all.get(sick), LOST, USUAL);
+                end(all.get(failing), LOST, TYPICAL_NANOS);
             }
         }
         assertThat(all.stream().filter(t -> condition(t) == Condition.EJECTED)).hasSize(4);
     }
 
     @Test
-    void someTargetIsChosenEvenWhenNoneCanBeReached() {
+    void targetIsChosenEvenIfNoneIsReachable() {
         Directory two = directory(ready("a"), ready("b"));
         choose(two);
         chooser.onNodeLost(NodeId.of("a"));
@@ -186,51 +187,53 @@
         assertThat(chosenNames(two, 100)).containsExactlyInAnyOrder("a", "b");
     }
 
-    /** A caller that allows 5 ms for what takes 20 ms would else have every target ejected. */
+    /**
+     * Guards against a caller with a timeout of 5 ms for calls that take 20 ms, which would have every target ejected.
+     */
     @Test
-    void aTimeoutOfAnImpatientCallerIsNotHeldAgainstATarget() {
+    void shortTimeoutOfACallerDoesNotEjectTargets() {
         Directory two = directory(ready("a"), ready("b"));
         choose(two);
-        end(ready("a"), WELL, USUAL);
-        end(ready("b"), WELL, USUAL);
-        CallResult impatient = CallResult.unknown(Reason.TIMED_OUT, "");
+        end(ready("a"), SUCCESS, TYPICAL_NANOS);
+        end(ready("b"), SUCCESS, TYPICAL_NANOS);
+        CallResult timeout = CallResult.unknown(Reason.TIMED_OUT, "");
         for (int i = 0; i < 10; i++) {
-            end(ready("a"), impatient, USUAL / 4);
+            end(ready("a"), timeout, TYPICAL_NANOS / 4);
         }
         assertThat(condition(ready("a"))).isEqualTo(Condition.HEALTHY);
         for (int i = 0; i < 10; i++) {
-            end(ready("b"), WELL, USUAL);
-            end(ready("a"), impatient, USUAL * 10);
+            end(ready("b"), SUCCESS, TYPICAL_NANOS);
+            end(ready("a"), timeout, TYPICAL_NANOS * 10);
         }
         assertThat(condition(ready("a"))).isEqualTo(Condition.EJECTED);
     }
 
     @Test
-    void aTargetThatRefusesIsAskedLessButNotEjected() {
+    void refusingTargetGetsFewerCallsButIsNotEjected() {
         Directory two = directory(ready("a"), ready("b"));
         choose(two);
         for (int i = 0; i < 20; i++) {
             end(ready("a"), CallResult.notRun(Reason.SHED_AT_TARGET, ""), 1);
-            end(ready("b"), WELL, USUAL);
+            end(ready("b"), SUCCESS, TYPICAL_NANOS);
         }
         assertThat(condition(ready("a"))).isEqualTo(Condition.HEALTHY);
         assertThat(chosenNames(two, 50)).containsExactly("b");
     }
 
     @Test
-    void serverErrorsCountAsFailuresAndClientErrorsDoNot() {
+    void serverErrorsCountAsFailuresButClientErrorsDoNot() {
         Directory two = directory(ready("a"), ready("b"));
         choose(two);
         for (int i = 0; i < 10; i++) {
-            end(ready("b"), CallResult.answered(new Answer(404, Headers.empty(), ByteString.EMPTY)), USUAL);
-            end(ready("a"), CallResult.answered(new Answer(500, Headers.empty(), ByteString.EMPTY)), USUAL);
+            end(ready("b"), CallResult.answered(new Answer(404, Headers.empty(), ByteString.EMPTY)), TYPICAL_NANOS);
+            end(ready("a"), CallResult.answered(new Answer(500, Headers.empty(), ByteString.EMPTY)), TYPICAL_NANOS);
         }
         assertThat(condition(ready("a"))).isEqualTo(Condition.EJECTED);
         assertThat(condition(ready("b"))).isEqualTo(Condition.HEALTHY);
     }
 
     @Test
-    void nearDataCentresComeBeforeOtherRegions() {
+    void nearDataCentresArePreferredToOtherRegions() {
         DataCentre region = DataCentre.of("perth-a");
         TargetRecord near = FakeFleet.record("near", FakeFleet.OTHER, 8, TargetState.READY);
         TargetRecord far = FakeFleet.record("far", region, 8, TargetState.READY);
@@ -242,13 +245,13 @@
     }
 
     @Test
-    void lateResultsOfTargetsThatAreGoneChangeNothing() {
+    void lateResultsOfRemovedTargetsAreIgnored() {
         Directory one = directory(ready("a"));
         choose(one);
-        chooser.onResult(ready("gone"), WELL, USUAL);
-        chooser.onResult(ready("a"), WELL, USUAL);
+        chooser.onResult(ready("gone"), SUCCESS, TYPICAL_NANOS);
+        chooser.onResult(ready("a"), SUCCESS, TYPICAL_NANOS);
         assertThat(chooser.snapshot()).hasSize(1).allMatch(health -> health.inFlight() == 0);
         assertThat(ImmutableList.copyOf(chooser.snapshot()).get(0).latencyNanos())
-                .isEqualTo(USUAL);
+                .isEqualTo(TYPICAL_NANOS);
     }
 }
