--- a/src/main/java/io/beryldock/retry/AccountState.java
+++ b/src/main/java/io/beryldock/retry/AccountState.java
@@ -1,16 +1,16 @@
 package io.beryldock.retry;
 
 /**
- * Where the retries of one account are.
+ * Balance of one retry account: what became of the allowance it was opened with.
  *
- * <p>Immutable. Invariant: no part is negative and the parts sum to {@code opened}.
+ * <p>Immutable. Invariant: no component is negative, and all others sum to {@code opened}.
  *
- * @param opened the allowance that came with the call
- * @param held still here and free to use
- * @param spent retries made by this node for inner calls of the call
- * @param outstanding granted to child attempts that have not been settled
- * @param lost granted and never to come back
- * @param returned given back to the parent with the call's answer
+ * @param opened retries that the account was opened with, the allowance of the call
+ * @param held retries that can still be spent or granted
+ * @param spent retries that this node has made for inner calls of the call
+ * @param outstanding retries granted to child attempts and not settled yet
+ * @param lost retries granted to child attempts that were not given back: spent there, or the answer was lost or late
+ * @param returned unspent retries returned to the parent with the call's answer
  */
 public record AccountState(int opened, int held, int spent, int outstanding, int lost, int returned) {
 
@@ -18,23 +18,23 @@
         return new AccountState(allowance, allowance, 0, 0, 0, 0);
     }
 
-    boolean addsUp() {
-        boolean positive = held >= 0 && spent >= 0 && outstanding >= 0 && lost >= 0 && returned >= 0;
-        return positive && held + spent + outstanding + lost + returned == opened;
+    boolean isBalanced() {
+        boolean nonNegative = held >= 0 && spent >= 0 && outstanding >= 0 && lost >= 0 && returned >= 0;
+        return nonNegative && held + spent + outstanding + lost + returned == opened;
     }
 
     AccountState spendOne() {
         return new AccountState(opened, held - 1, spent + 1, outstanding, lost, returned);
     }
 
-    AccountState grant(int part) {
-        return new AccountState(opened, held - part, spent, outstanding + part, lost, returned);
+    AccountState grant(int amount) {
+        return new AccountState(opened, held - amount, spent, outstanding + amount, lost, returned);
     }
 
-    /** A child of which {@code used} retries are gone for good, spent beneath or lost on the way. */
+    /** Settles a grant of which {@code unspent} retries come back; the others were spent by the child or lost. */
     AccountState settle(int granted, int unspent) {
-        int gone = granted - unspent;
-        return new AccountState(opened, held + unspent, spent, outstanding - granted, lost + gone, returned);
+        int consumed = granted - unspent;
+        return new AccountState(opened, held + unspent, spent, outstanding - granted, lost + consumed, returned);
     }
 
     AccountState close() {
--- a/src/main/java/io/beryldock/retry/Backoff.java
+++ b/src/main/java/io/beryldock/retry/Backoff.java
@@ -4,9 +4,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Random waits before retries and for Retry-After, so that callers refused together don't come back together.
+ * Random delays before retries and for Retry-After, so that callers refused at the same time don't retry at the same
+ * time.
  *
- * <p>Full jitter: the wait before retry n is evenly spread between 0 and base * 2^(n-1), cut at the cap. Thread safe:
+ * <p>Full jitter: the delay before retry n is uniform between 0 and base * 2^(n-1), limited to the cap. Thread safe:
  * one lock around the generator.
  */
 public final class Backoff {
@@ -27,14 +28,16 @@
         return new Backoff(random, base.toNanos(), cap.toNanos());
     }
 
-    /** Wait before the retry of that number, counted from 1. */
+    /** Random delay before a retry, where the first retry has number 1. */
     public long delayNanos(int retry) {
         int doublings = Math.min(MAX_DOUBLINGS, Math.max(0, retry - 1));
         long limit = Math.min(capNanos, baseNanos << doublings);
         return limit <= 0 ? 0 : nextLong(limit + 1);
     }
 
-    /** A Retry-After evenly spread between {@code meanMillis} / 2 and 3/2 of it, so that its mean is kept. */
+    /**
+     * Random Retry-After, uniform between 1/2 and 3/2 of {@code meanMillis}, so that its mean is {@code meanMillis}.
+     */
     public long retryAfterMillis(long meanMillis) {
         long mean = Math.max(1, meanMillis);
         return mean / 2 + nextLong(mean + 1);
--- a/src/main/java/io/beryldock/retry/GrantPolicy.java
+++ b/src/main/java/io/beryldock/retry/GrantPolicy.java
@@ -1,48 +1,50 @@
 package io.beryldock.retry;
 
 /**
- * How much of what an account holds goes to the next attempt of a child call.
+ * Decides how many retries of an account are granted to the next attempt of a child call.
  *
- * <p>Implementations are stateless and thread safe; the account cuts the part to what it holds.
+ * <p>Implementations are stateless and thread safe. The account limits the result to what it holds.
  */
 @FunctionalInterface
 public interface GrantPolicy {
 
     /**
-     * The part to hand on.
+     * Number of retries to grant.
      *
-     * @param held retries that the account holds
-     * @param leaf whether the called service is known to make no inner calls, so that it can't spend any
+     * @param held retries that the account still holds
+     * @param leaf whether the called service is known to make no inner calls, so that it can't spend retries
      */
-    int part(int held, boolean leaf);
+    int amount(int held, boolean leaf);
 
-    /** Everything. */
+    /** Grants all retries. */
     static GrantPolicy all() {
         return (held, leaf) -> held;
     }
 
-    /** Everything but one retry, kept for an attempt whose answer is lost. */
+    /** Grants all retries but one, which is kept for an attempt whose answer is lost. */
     static GrantPolicy keepOne() {
         return (held, leaf) -> held - 1;
     }
 
-    /** Everything but one retry, unless there is only one: that is handed on. */
+    /** Grants all retries but one; a single remaining retry is granted. */
     static GrantPolicy keepOneOfTwo() {
         return (held, leaf) -> held > 1 ? held - 1 : held;
     }
 
-    /** Half, rounded up, so that a single retry is handed on. */
+    /** Grants half of the retries, rounded up, so that a single remaining retry is granted. */
     static GrantPolicy half() {
         return (held, leaf) -> (held + 1) / 2;
     }
 
-    /** Nothing to a leaf, which can't spend it but can lose it; to others what {@code beneath} says. */
-    static GrantPolicy sparingLeaves(GrantPolicy beneath) {
-        return (held, leaf) -> leaf ? 0 : beneath.part(held, false);
+    /**
+     * Grants nothing to a leaf, which could lose retries but not spend them, and applies {@code otherwise} to others.
+     */
+    static GrantPolicy withholdingFromLeaves(GrantPolicy otherwise) {
+        return (held, leaf) -> leaf ? 0 : otherwise.amount(held, false);
     }
 
-    /** The one that nodes use; docs/DECISIONS/0006-retry-allowance.md has the measurement. */
+    /** The policy that nodes use; see docs/DECISIONS/0006-retry-allowance.md for the comparison of policies. */
     static GrantPolicy standard() {
-        return sparingLeaves(keepOneOfTwo());
+        return withholdingFromLeaves(keepOneOfTwo());
     }
 }
--- a/src/main/java/io/beryldock/retry/LeafTracker.java
+++ b/src/main/java/io/beryldock/retry/LeafTracker.java
@@ -7,17 +7,17 @@
 import java.util.concurrent.ConcurrentMap;
 
 /**
- * Learns from answers which services make no inner calls.
+ * Learns from answers which services are leaves of call trees: they make no inner calls.
  *
- * <p>An answer names the admission levels of its service and of those beneath it; a service of whose last
- * {@value #ANSWERS_NEEDED} answers none named another one is a leaf. An unknown service is not. Thread safe; one small
- * entry for each service called.
+ * <p>An answer carries the admission levels of its service and of the services called beneath it. A service is a leaf
+ * if none of its last {@value #ANSWERS_NEEDED} answers carried the level of another service; an unknown service is not
+ * a leaf. Thread safe; keeps one small entry for each service called.
  */
 public final class LeafTracker {
 
     static final int ANSWERS_NEEDED = 20;
 
-    private final ConcurrentMap<ServiceName, Integer> answersAlone = new ConcurrentHashMap<>();
+    private final ConcurrentMap<ServiceName, Integer> consecutiveOwnAnswers = new ConcurrentHashMap<>();
 
     private LeafTracker() {}
 
@@ -25,17 +25,18 @@
         return new LeafTracker();
     }
 
-    /** Notes the levels that an answer of the service carried. */
+    /** Records the admission levels that an answer of the service carried. */
     public void onAnswer(ServiceName service, List<ServiceLevel> levels) {
-        boolean alone = levels.stream().allMatch(level -> level.service().equals(service));
-        if (!alone) {
-            answersAlone.put(service, 0);
+        boolean namesOnlyItself =
+                levels.stream().allMatch(level -> level.service().equals(service));
+        if (!namesOnlyItself) {
+            consecutiveOwnAnswers.put(service, 0);
         } else if (!isLeaf(service)) {
-            answersAlone.merge(service, 1, Integer::sum);
+            consecutiveOwnAnswers.merge(service, 1, Integer::sum);
         }
     }
 
     public boolean isLeaf(ServiceName service) {
-        return answersAlone.getOrDefault(service, 0) >= ANSWERS_NEEDED;
+        return consecutiveOwnAnswers.getOrDefault(service, 0) >= ANSWERS_NEEDED;
     }
 }
--- a/src/main/java/io/beryldock/retry/RecentCalls.java
+++ b/src/main/java/io/beryldock/retry/RecentCalls.java
@@ -6,26 +6,26 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The ids of the calls that ended last, as many as fit. Thread safe. */
+/** Bounded set of the ids of the calls that ended last; evicts the oldest id when full. Thread safe. */
 final class RecentCalls {
 
     private final int capacity;
     private final Set<RequestId> ids;
-    private final Deque<RequestId> oldestFirst;
+    private final Deque<RequestId> insertionOrder;
 
     RecentCalls(int capacity) {
         this.capacity = capacity;
         this.ids = new HashSet<>();
-        this.oldestFirst = new ArrayDeque<>();
+        this.insertionOrder = new ArrayDeque<>();
     }
 
     synchronized void add(RequestId call) {
         if (!ids.add(call)) {
             return;
         }
-        oldestFirst.add(call);
-        if (oldestFirst.size() > capacity) {
-            ids.remove(oldestFirst.poll());
+        insertionOrder.add(call);
+        if (insertionOrder.size() > capacity) {
+            ids.remove(insertionOrder.poll());
         }
     }
 
--- a/src/main/java/io/beryldock/retry/RetryAccount.java
+++ b/src/main/java/io/beryldock/retry/RetryAccount.java
@@ -6,8 +6,8 @@
 /**
  * The retry allowance of one call at the node that runs it.
  *
- * <p>Invariant, checked after each change: held + spent + outstanding + lost + returned is what the account was opened
- * with, and none of them is negative. Thread safe.
+ * <p>Invariant, checked on each change: held + spent + outstanding + lost + returned equals the allowance that the
+ * account was opened with, and none of them is negative. Thread safe.
  */
 public final class RetryAccount {
 
@@ -27,27 +27,27 @@
         if (closed || state.held() == 0) {
             return false;
         }
-        move(state.spendOne());
+        update(state.spendOne());
         return true;
     }
 
-    /** Hands up to {@code wanted} retries to an attempt of a child call; the grant may be of 0. */
+    /** Grants up to {@code wanted} retries to an attempt of a child call; the grant may be empty. */
     public synchronized RetryGrant grant(int wanted) {
-        int part = closed ? 0 : Math.max(0, Math.min(wanted, state.held()));
-        move(state.grant(part));
-        return new RetryGrant(this, part, ledger.newGuard());
+        int amount = closed ? 0 : Math.max(0, Math.min(wanted, state.held()));
+        update(state.grant(amount));
+        return new RetryGrant(this, amount, ledger.newGuard());
     }
 
-    /** Hands to an attempt of a child call as much as the policy says. */
+    /** Grants to an attempt of a child call as many retries as the policy decides. */
     public synchronized RetryGrant grant(GrantPolicy policy, boolean leaf) {
-        return grant(policy.part(state.held(), leaf));
+        return grant(policy.amount(state.held(), leaf));
     }
 
     /**
-     * Closes the account and returns the unspent part, to go back with the call's answer.
+     * Closes the account and returns the number of unspent retries, which go back to the caller with the call's answer.
      *
-     * <p>What children still hold counts as lost: their answers come too late to be passed on. A second close
-     * returns 0.
+     * <p>Grants that are not settled yet count as lost, because the answers of those children arrive too late. A second
+     * close returns 0.
      */
     public synchronized int close() {
         if (closed) {
@@ -55,8 +55,8 @@
         }
         closed = true;
         int unspent = state.held();
-        move(state.close());
-        ledger.drop(call, this);
+        update(state.close());
+        ledger.onClosed(call, this);
         return unspent;
     }
 
@@ -77,11 +77,11 @@
             ledger.countRejectedReturn();
             return;
         }
-        move(state.settle(granted, unspent));
+        update(state.settle(granted, unspent));
     }
 
-    private void move(AccountState next) {
-        if (!next.addsUp()) {
+    private void update(AccountState next) {
+        if (!next.isBalanced()) {
             String detail = "retry account of " + call + " doesn't add up: " + next + "; report this line";
             ledger.countViolation(call, detail);
             throw new RetryInvariantException(detail);
--- a/src/main/java/io/beryldock/retry/RetryBudget.java
+++ b/src/main/java/io/beryldock/retry/RetryBudget.java
@@ -1,24 +1,24 @@
 package io.beryldock.retry;
 
-/** Limits the retries to a service to a share of the first tries. Thread safe. */
+/** Limits the retries sent to a service to a share of the first attempts. Thread safe. */
 public interface RetryBudget {
 
-    /** Notes a first try. */
+    /** Records a first attempt. */
     void onFirstTry();
 
-    /** Notes a call that repeats one, since the run that makes it repeats an earlier run. */
+    /** Records a call that is repeated because the run that makes it is itself a repetition. */
     void onRepeat();
 
     /**
-     * Takes one retry out of the budget; false when there is none for the rank.
+     * Takes one retry from the budget; false when none is available to the rank.
      *
-     * @param rank of the request, 0 is the most important
+     * @param rank priority rank of the request, 0 is the most important
      */
     boolean tryRetry(int rank);
 
-    /** Puts back a retry that was taken and then not made. */
-    void putBack();
+    /** Returns a retry to the budget that was taken but not made. */
+    void refund();
 
-    /** Retries that the most important requests could make now. */
+    /** Number of retries that requests of the most important rank could make now. */
     int available();
 }
--- a/src/main/java/io/beryldock/retry/RetryBudgetSettings.java
+++ b/src/main/java/io/beryldock/retry/RetryBudgetSettings.java
@@ -5,10 +5,10 @@
 /**
  * Limits of a {@link RetryBudget}. Immutable.
  *
- * @param share retries allowed as a share of first tries
- * @param floorPerSecond retries a second allowed beside the share, for pairs with little traffic
- * @param floorBurst how many retries of the floor may be saved up
- * @param window how long first tries count; a budget not used fades with this time constant
+ * @param share retries allowed as a share of first attempts
+ * @param floorPerSecond retries per second allowed in addition to the share, for pairs of services with little traffic
+ * @param floorBurst limit on the number of unused floor retries that accumulate
+ * @param window time constant with which the unused retries of the share decay
  */
 public record RetryBudgetSettings(double share, double floorPerSecond, double floorBurst, Duration window) {
 
@@ -23,12 +23,12 @@
         }
     }
 
-    /** A tenth of first tries, and one retry in five seconds. */
+    /** Retries up to a tenth of first attempts, plus one every five seconds. */
     public static RetryBudgetSettings defaults() {
         return DEFAULTS;
     }
 
-    public RetryBudgetSettings withShare(double other) {
-        return new RetryBudgetSettings(other, floorPerSecond, floorBurst, window);
+    public RetryBudgetSettings withShare(double newShare) {
+        return new RetryBudgetSettings(newShare, floorPerSecond, floorBurst, window);
     }
 }
--- a/src/main/java/io/beryldock/retry/RetryBudgets.java
+++ b/src/main/java/io/beryldock/retry/RetryBudgets.java
@@ -8,10 +8,10 @@
 import java.util.function.Function;
 
 /**
- * The retry budgets of one node, one for each pair of caller and callee service, or one for each callee.
+ * The retry budgets of one node: one for each pair of calling and called service, or one for each called service.
  *
- * <p>Holds at most {@value #MAX_PAIRS} pairs; the least recently used one is forgotten and starts anew with its floor.
- * Thread safe.
+ * <p>Holds at most {@value #MAX_PAIRS} budgets. The least recently used one is evicted, and a later call creates a new
+ * one that holds only its floor. Thread safe.
  */
 public final class RetryBudgets {
 
@@ -27,12 +27,12 @@
         this.byCallee = byCallee;
     }
 
-    /** Budgets whose settings are looked up by callee when a pair is first seen. */
+    /** Creates budgets for pairs of services; the settings of the callee are read when a pair is first used. */
     public static RetryBudgets create(Ticker ticker, Function<ServiceName, RetryBudgetSettings> settings) {
         return new RetryBudgets(callee -> TokenRetryBudget.create(ticker, settings.apply(callee)), false);
     }
 
-    /** One budget for each callee, whoever calls it from this node. */
+    /** Creates one budget for each called service, shared by all callers at this node. */
     public static RetryBudgets ofCallees(Function<ServiceName, RetryBudget> create) {
         return new RetryBudgets(create, true);
     }
@@ -41,14 +41,15 @@
         return budgets.getUnchecked(new Pair(byCallee ? callee : caller, callee));
     }
 
-    /** Forgets all budgets, so that changed settings take effect. */
+    /** Discards all budgets, so that changed settings take effect. */
     public void reset() {
         budgets.invalidateAll();
     }
 
     private record Pair(ServiceName caller, ServiceName callee) {
 
-        // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+        // Written by hand: the generated equals of a record is an invokedynamic call, which the C1 compiler used by
+        // nodes does not inline.
         @Override
         public boolean equals(Object other) {
             return other instanceof Pair that && callee.equals(that.callee) && caller.equals(that.caller);
--- a/src/main/java/io/beryldock/retry/RetryDecision.java
+++ b/src/main/java/io/beryldock/retry/RetryDecision.java
@@ -1,28 +1,28 @@
 package io.beryldock.retry;
 
-/** Whether a call is tried again, and if not, why. */
+/** Whether a call is retried, and if not, the reason. */
 public enum RetryDecision {
     RETRY_ELSEWHERE,
     /**
-     * A target with free slots refused it: it is sent to the same target again, as its allowance of further targets is
-     * spent.
+     * The call is sent to the same target again: that target refused it although it has free slots, and no retry at
+     * another target is possible.
      */
     RESEND,
-    /** There is an answer. */
+    /** The call was answered. */
     STOP_ANSWERED,
-    /** It may have run and may not run twice. */
+    /** The call may have run and is not idempotent. */
     STOP_MAY_HAVE_RUN,
-    /** Trying again can't help, or would add load where there is too much. */
+    /** A retry can't succeed, or would add load to an overloaded system. */
     STOP_USELESS,
-    /** Two targets were full: the service is. */
+    /** Two targets refused the call as full, so the whole service is taken to be full. */
     STOP_SERVICE_FULL,
     STOP_NO_OTHER_TARGET,
     STOP_NO_TIME,
-    /** It may have run, and was in flight when a target crashed. */
+    /** The call may have run, and its request was in flight when a target crashed. */
     STOP_SUSPECT,
-    /** The root request's retries are spent, or held elsewhere in the tree. */
+    /** The allowance of the root request is spent, or held by other calls of its tree. */
     STOP_ALLOWANCE_SPENT,
-    /** The pair of services has had its share of retries. */
+    /** The retry budget for the called service is spent. */
     STOP_BUDGET_SPENT;
 
     public boolean isRetry() {
--- a/src/main/java/io/beryldock/retry/RetryGate.java
+++ b/src/main/java/io/beryldock/retry/RetryGate.java
@@ -6,10 +6,9 @@
 import io.beryldock.timeline.EventSink;
 
 /**
- * Lets a retry happen or not: the policy first, then the budget of the two services, then the account of the call.
+ * Admits or denies a retry: checks the policy first, then the retry budget, then the account of the call.
  *
- * <p>Invariant: after a decision that is no retry, account and budget are as they were.
- * Thread safe.
+ * <p>Invariant: a denied retry leaves account and budget unchanged. Thread safe.
  */
 public final class RetryGate {
 
@@ -25,68 +24,73 @@
         return new RetryGate(policy, events);
     }
 
-    /** Decides, and takes the retry from account and budget when it is to be made. */
-    public RetryDecision ask(RetryQuestion q, RetryAccount account, RetryBudget budget) {
-        RetryDecision decision = policy.decide(q);
-        RetryDecision outcome = decision.isRetry() ? take(q, decision, account, budget) : decision;
-        record(q, account, outcome);
+    /** Decides whether to retry and, if so, takes the retry from account and budget. */
+    public RetryDecision ask(RetryQuestion attempt, RetryAccount account, RetryBudget budget) {
+        RetryDecision decision = policy.decide(attempt);
+        RetryDecision outcome = decision.isRetry() ? takeRetry(attempt, decision, account, budget) : decision;
+        record(attempt, account, outcome);
         return outcome;
     }
 
-    private static RetryDecision take(
-            RetryQuestion q, RetryDecision decision, RetryAccount account, RetryBudget budget) {
-        boolean budgeted = !isExemptFromBudget(q);
-        if (budgeted && !budget.tryRetry(q.rank())) {
+    private static RetryDecision takeRetry(
+            RetryQuestion attempt, RetryDecision decision, RetryAccount account, RetryBudget budget) {
+        boolean budgeted = !isExemptFromBudget(attempt);
+        if (budgeted && !budget.tryRetry(attempt.rank())) {
             return RetryDecision.STOP_BUDGET_SPENT;
         }
-        boolean elsewhere = decision != RetryDecision.RESEND || q.otherTargets() > 0;
-        if (elsewhere && account.takeRetry()) {
+        boolean hasOtherTarget = decision != RetryDecision.RESEND || attempt.otherTargets() > 0;
+        if (hasOtherTarget && account.takeRetry()) {
             return RetryDecision.RETRY_ELSEWHERE;
         }
         if (decision == RetryDecision.RESEND) {
-            // The allowance bounds the targets that a request may reach; this goes to one that it has reached.
+            // The allowance limits the number of further targets of a request; a resend goes to the same target.
             return RetryDecision.RESEND;
         }
         if (budgeted) {
-            budget.putBack();
+            budget.refund();
         }
         return RetryDecision.STOP_ALLOWANCE_SPENT;
     }
 
     /**
-     * A refusal by the node of a target, or a connection that could not be made, comes before the target hears of the
-     * request. The budget protects targets from repeats, and this next try is the first that may reach one; the
-     * allowance of the request still bounds it.
+     * Whether the attempt ended before it reached its target, so that a retry is not charged to the budget.
      *
-     * <p>Guards against requests that fail while other targets are idle: of a budget that is shared by a hundred nodes
-     * each has less than one retry, so that the first target that was full, leaving or starting ended the request.
+     * <p>That is the case when the target's node refused the attempt or no connection could be made. The budget
+     * protects targets from repeated calls, but the next attempt is the first that may reach one. The allowance of the
+     * request still limits such retries.
+     *
+     * <p>Guards against requests that fail while other targets are idle: when a hundred nodes share a budget, each has
+     * less than one retry, so that the first target that is full, leaving or starting would end the request.
      */
-    private static boolean isExemptFromBudget(RetryQuestion q) {
-        return q.result().outcome() == Outcome.NOT_RUN
-                && q.result().reason().filter(RetryGate::isBeforeTheTarget).isPresent();
+    private static boolean isExemptFromBudget(RetryQuestion attempt) {
+        return attempt.result().outcome() == Outcome.NOT_RUN
+                && attempt.result()
+                        .reason()
+                        .filter(RetryGate::isRefusedBeforeTarget)
+                        .isPresent();
     }
 
-    private static boolean isBeforeTheTarget(Reason reason) {
+    private static boolean isRefusedBeforeTarget(Reason reason) {
         return switch (reason) {
             case SHED_AT_TARGET, QUEUED_TOO_LONG, DRAINING, NO_TARGET, CONNECT_FAILED -> true;
             default -> false;
         };
     }
 
-    private void record(RetryQuestion q, RetryAccount account, RetryDecision outcome) {
+    private void record(RetryQuestion attempt, RetryAccount account, RetryDecision outcome) {
         switch (outcome) {
             case RETRY_ELSEWHERE, RESEND ->
                 events.record(
                         EventKind.RETRY_GRANTED,
                         account.requestId(),
-                        q.result().reason().map(Reason::name).orElse("ANSWERED"),
+                        attempt.result().reason().map(Reason::name).orElse("ANSWERED"),
                         "");
             case STOP_ALLOWANCE_SPENT, STOP_BUDGET_SPENT ->
                 events.record(
                         EventKind.RETRY_REFUSED,
                         account.requestId(),
                         outcome.name(),
-                        q.result().detail());
+                        attempt.result().detail());
             default -> {}
         }
     }
--- a/src/main/java/io/beryldock/retry/RetryGrant.java
+++ b/src/main/java/io/beryldock/retry/RetryGrant.java
@@ -1,7 +1,7 @@
 package io.beryldock.retry;
 
 /**
- * A part of an account that was handed to one attempt of a child call.
+ * Retries that an account granted to one attempt of a child call.
  *
  * <p>Invariant: settled at most once, by {@link #giveBack} or {@link #lose}, and never for more than its amount.
  * Thread safe.
@@ -18,16 +18,16 @@
         this.guard = guard;
     }
 
-    /** Retries handed on; goes into the child's {@code CallContext.retryAllowance}. May be 0. */
+    /** Number of retries granted, which is the child's {@code CallContext.retryAllowance}. May be 0. */
     public int amount() {
         return amount;
     }
 
     /**
-     * Takes back what the child's answer says it left.
+     * Returns to the account the retries that the child reports as unspent with its answer.
      *
-     * <p>A claim above the amount is cut to it; a second settlement, or one after the account was closed, is counted
-     * and has no effect. An answer can arrive twice or late, and another node's number is never trusted.
+     * <p>The number comes from another node and is limited to the amount granted. Since an answer can arrive twice or
+     * late, a second settlement, or one after the account was closed, has no effect apart from being counted.
      */
     public void giveBack(int unspent) {
         int capped = Math.max(0, Math.min(unspent, amount));
@@ -37,7 +37,9 @@
         settle(capped);
     }
 
-    /** Gives the part up: the child's answer was lost, so what it spent can't be known. Without effect once settled. */
+    /**
+     * Writes the grant off, because the child's answer was lost and what it spent is unknown. No effect once settled.
+     */
     public void lose() {
         settle(0);
     }
--- a/src/main/java/io/beryldock/retry/RetryInvariantException.java
+++ b/src/main/java/io/beryldock/retry/RetryInvariantException.java
@@ -1,6 +1,6 @@
 package io.beryldock.retry;
 
-/** A retry account doesn't add up: a fault of this program, never of a peer. */
+/** Thrown when a retry account doesn't balance, which is a bug in this program and never caused by a peer. */
 public final class RetryInvariantException extends IllegalStateException {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/io/beryldock/retry/RetryLedger.java
+++ b/src/main/java/io/beryldock/retry/RetryLedger.java
@@ -10,21 +10,23 @@
 import java.util.function.Supplier;
 
 /**
- * The retry accounts of all calls that are under way at one node.
+ * The retry accounts of all calls that are running at one node.
  *
- * <p>A call opens an account with the allowance that came with it; inner calls made within its run find the account by
- * the call's id, take retries from it and hand parts of it on. Invariant over the whole call tree: retries taken never
- * exceed the root's allowance, as every part is in exactly one place: spent, held, granted to a child or lost.
+ * <p>A call opens an account with the allowance that it carries. Inner calls made by its run find the account by the
+ * call's id, take retries from it and pass grants on to their own callees. Invariant over the whole call tree: the
+ * retries taken never exceed the allowance of the root, because each retry is counted in exactly one place: spent,
+ * held, granted to a child or lost.
  *
- * <p>Thread safe. An account is dropped when it is closed, so whoever opens one closes it on every way out.
+ * <p>Thread safe. An account is removed when it is closed, so the code that opens an account must close it on every
+ * path.
  */
 public final class RetryLedger {
 
-    /** Ended calls whose ids are remembered, so that a late duplicate opens nothing. */
-    static final int REMEMBERED_CALLS = 4096;
+    /** Number of closed accounts whose call ids are kept, so that a late duplicate of a call gets no allowance. */
+    static final int MAX_CLOSED_IDS = 4096;
 
     private final ConcurrentMap<RequestId, RetryAccount> accounts = new ConcurrentHashMap<>();
-    private final RecentCalls closed = new RecentCalls(REMEMBERED_CALLS);
+    private final RecentCalls closedCalls = new RecentCalls(MAX_CLOSED_IDS);
     private final AtomicLong violations = new AtomicLong();
     private final AtomicLong rejectedReturns = new AtomicLong();
     private final EventSink events;
@@ -43,7 +45,7 @@
         return new RetryLedger(events, SettleGuard::once);
     }
 
-    /** A ledger whose grants are settled under another guard; for tests that break it on purpose. */
+    /** Creates a ledger with another settlement guard, for tests that break the invariant on purpose. */
     static RetryLedger withGuard(Supplier<SettleGuard> guards) {
         return new RetryLedger(EventSink.none(), guards);
     }
@@ -51,34 +53,34 @@
     /**
      * Opens the account of a call.
      *
-     * <p>Guards against a duplicated call message, which would double the allowance: the second account for an id that
-     * is open, or was closed not long ago, holds nothing and is found by nobody.
+     * <p>Guards against a duplicated call message, which would double the allowance: if an account with this id is open
+     * or was closed recently, the new account is empty and {@link #find} doesn't return it.
      */
     public RetryAccount open(RequestId call, int allowance) {
-        if (closed.contains(call)) {
+        if (closedCalls.contains(call)) {
             return new RetryAccount(this, call, 0);
         }
         RetryAccount account = new RetryAccount(this, call, Math.max(0, allowance));
-        RetryAccount first = accounts.putIfAbsent(call, account);
-        return first == null ? account : new RetryAccount(this, call, 0);
+        RetryAccount existing = accounts.putIfAbsent(call, account);
+        return existing == null ? account : new RetryAccount(this, call, 0);
     }
 
-    /** The open account of the call; empty once it is closed, so that late inner calls get no retry. */
+    /** The open account of the call; empty once it is closed, so that late inner calls get no retries. */
     public Optional<RetryAccount> find(RequestId call) {
         return Optional.ofNullable(accounts.get(call));
     }
 
-    /** Number of accounts open now. */
+    /** Number of open accounts. */
     public int openAccounts() {
         return accounts.size();
     }
 
-    /** How often an account was found not to add up; anything but 0 is a fault of this program. */
+    /** How often an account did not balance; any value above 0 is a bug in this program. */
     public long violations() {
         return violations.get();
     }
 
-    /** How often a part came back twice, after its account was closed, or larger than it was granted. */
+    /** How often a grant was returned twice, after its account was closed, or with more retries than it had. */
     public long rejectedReturns() {
         return rejectedReturns.get();
     }
@@ -87,8 +89,8 @@
         return guards.get();
     }
 
-    void drop(RequestId call, RetryAccount account) {
-        closed.add(call);
+    void onClosed(RequestId call, RetryAccount account) {
+        closedCalls.add(call);
         accounts.remove(call, account);
     }
 
--- a/src/main/java/io/beryldock/retry/RetryPolicy.java
+++ b/src/main/java/io/beryldock/retry/RetryPolicy.java
@@ -4,17 +4,18 @@
 import io.beryldock.call.Reason;
 
 /**
- * Decides whether a call is tried again.
+ * Decides whether a call is worth a retry.
  *
- * <p>A retry goes to another target: after NOT_RUN; after UNKNOWN when the route is idempotent; where settings allow it
- * after a failure that a target answered, when the call is idempotent and made no calls of its own. Only a refusal by a
- * target that reports free slots may be sent to the same target again. Each needs that the time left covers what an
- * attempt is expected to take. Pure: the same question has the same decision. Whether a retry is
- * also allowed, by the account of the call and the budget of the services, is asked afterwards. Immutable, thread safe.
+ * <p>A call is retried at another target after NOT_RUN, and after UNKNOWN if the route is idempotent. If the settings
+ * allow it, an idempotent call that made no inner calls is also retried after a server error. A call is sent to the
+ * same target again only if that target refused it while reporting free slots. In each case the remaining time must
+ * cover the expected duration of an attempt. The decision depends only on the attempt and the settings;
+ * {@link RetryGate} checks afterwards whether the account of the call and the retry budget allow the retry. Immutable,
+ * thread safe.
  */
 public final class RetryPolicy {
 
-    /** Full targets that are asked before the service is held to be full. */
+    /** Refusals by full targets after which the whole service is taken to be full. */
     static final int MAX_FULL_REFUSALS = 2;
 
     private static final int GATEWAY_TIMEOUT = 504;
@@ -33,62 +34,65 @@
         return new RetryPolicy(settings);
     }
 
-    public RetryDecision decide(RetryQuestion q) {
-        if (q.result().outcome() == Outcome.ANSWERED) {
-            return isFailedLeaf(q) ? decideElsewhere(q) : RetryDecision.STOP_ANSWERED;
+    public RetryDecision decide(RetryQuestion attempt) {
+        if (attempt.result().outcome() == Outcome.ANSWERED) {
+            return isFailedLeaf(attempt) ? decideElsewhere(attempt) : RetryDecision.STOP_ANSWERED;
         }
-        Reason reason = q.result().reason().orElseThrow();
-        return q.result().outcome() == Outcome.UNKNOWN ? decideUnknown(q, reason) : decideByReason(q, reason);
+        Reason reason = attempt.result().reason().orElseThrow();
+        return attempt.result().outcome() == Outcome.UNKNOWN
+                ? decideUnknown(attempt, reason)
+                : decideByReason(attempt, reason);
     }
 
-    /** A suspect that may have run may have crashed its target: sending it to the next one is left to its caller. */
-    private RetryDecision decideUnknown(RetryQuestion q, Reason reason) {
-        if (!q.idempotent()) {
+    /** A suspect request that may have run may also have crashed its target, so only its caller may send it again. */
+    private RetryDecision decideUnknown(RetryQuestion attempt, Reason reason) {
+        if (!attempt.idempotent()) {
             return RetryDecision.STOP_MAY_HAVE_RUN;
         }
-        return q.suspect() ? RetryDecision.STOP_SUSPECT : decideByReason(q, reason);
+        return attempt.suspect() ? RetryDecision.STOP_SUSPECT : decideByReason(attempt, reason);
     }
 
-    /** Whether the answer is a failure of a call that may run again and that called nothing. */
-    private boolean isFailedLeaf(RetryQuestion q) {
-        boolean failed = q.result()
+    /** Whether the answer is a server error of an idempotent call that made no inner calls. */
+    private boolean isFailedLeaf(RetryQuestion attempt) {
+        boolean failed = attempt.result()
                 .answer()
                 .filter(answer -> answer.isServerError() && answer.status() != GATEWAY_TIMEOUT)
                 .isPresent();
-        boolean leaf = q.result().cost().services().size() == 1;
-        return settings.failedLeaves() && failed && leaf && q.idempotent() && !q.suspect();
+        boolean leaf = attempt.result().cost().services().size() == 1;
+        return settings.failedLeaves() && failed && leaf && attempt.idempotent() && !attempt.suspect();
     }
 
-    private RetryDecision decideByReason(RetryQuestion q, Reason reason) {
-        if (!helpsElsewhere(reason)) {
+    private RetryDecision decideByReason(RetryQuestion attempt, Reason reason) {
+        if (!mayHelpElsewhere(reason)) {
             return RetryDecision.STOP_USELESS;
         }
-        if (isTurnedAwayWithRoom(q, reason)) {
-            return hasTime(q) ? RetryDecision.RESEND : RetryDecision.STOP_NO_TIME;
+        if (isRefusedDespiteFreeSlots(attempt, reason)) {
+            return hasTime(attempt) ? RetryDecision.RESEND : RetryDecision.STOP_NO_TIME;
         }
-        return decideElsewhere(q);
+        return decideElsewhere(attempt);
     }
 
-    private boolean isTurnedAwayWithRoom(RetryQuestion q, Reason reason) {
-        boolean room = q.result().load().filter(load -> load.free() > 0).isPresent();
-        return reason == Reason.TARGET_REFUSED && room && q.tries() <= settings.resends();
+    private boolean isRefusedDespiteFreeSlots(RetryQuestion attempt, Reason reason) {
+        boolean hasFreeSlots =
+                attempt.result().load().filter(load -> load.free() > 0).isPresent();
+        return reason == Reason.TARGET_REFUSED && hasFreeSlots && attempt.tries() <= settings.resends();
     }
 
-    private static boolean hasTime(RetryQuestion q) {
-        return q.remainingNanos() > 0 && q.remainingNanos() >= q.expectedNanos();
+    private static boolean hasTime(RetryQuestion attempt) {
+        return attempt.remainingNanos() > 0 && attempt.remainingNanos() >= attempt.expectedNanos();
     }
 
-    private static RetryDecision decideElsewhere(RetryQuestion q) {
-        if (q.fullRefusals() >= MAX_FULL_REFUSALS) {
+    private static RetryDecision decideElsewhere(RetryQuestion attempt) {
+        if (attempt.fullRefusals() >= MAX_FULL_REFUSALS) {
             return RetryDecision.STOP_SERVICE_FULL;
         }
-        if (q.otherTargets() == 0) {
+        if (attempt.otherTargets() == 0) {
             return RetryDecision.STOP_NO_OTHER_TARGET;
         }
-        return hasTime(q) ? RetryDecision.RETRY_ELSEWHERE : RetryDecision.STOP_NO_TIME;
+        return hasTime(attempt) ? RetryDecision.RETRY_ELSEWHERE : RetryDecision.STOP_NO_TIME;
     }
 
-    /** Whether the refusal came from a full target, which counts towards {@link RetryQuestion#fullRefusals}. */
+    /** Whether the reason means that a target was full, which counts towards {@link RetryQuestion#fullRefusals}. */
     public static boolean isFullRefusal(Reason reason) {
         return switch (reason) {
             case SHED_AT_TARGET, QUEUED_TOO_LONG, TARGET_REFUSED -> true;
@@ -96,7 +100,7 @@
         };
     }
 
-    private static boolean helpsElsewhere(Reason reason) {
+    private static boolean mayHelpElsewhere(Reason reason) {
         return switch (reason) {
             case SHED_AT_TARGET, QUEUED_TOO_LONG, TARGET_REFUSED -> true;
             case DRAINING, NO_TARGET, CONNECT_FAILED, CONNECTION_LOST, TIMED_OUT, INTERNAL -> true;
--- a/src/main/java/io/beryldock/retry/RetryPolicySettings.java
+++ b/src/main/java/io/beryldock/retry/RetryPolicySettings.java
@@ -1,12 +1,13 @@
 package io.beryldock.retry;
 
 /**
- * Which failed attempts are worth another one. Immutable.
+ * Settings of a {@link RetryPolicy}. Immutable.
  *
- * @param resends attempts, of any kind, after which a refusal by a target with free slots is still sent again; such a
- *     target may refuse a part of what comes, whatever its number, so that asking again helps
- * @param failedLeaves whether a failure that a target answers is tried elsewhere, for idempotent calls that called
- *     nothing: without it the whole tree above is lost with one of its many calls
+ * @param resends number of attempts, of any kind, up to which a call that a target with free slots refused is still
+ *     sent to that target again; such a target may refuse a share of all calls regardless of load, so that a resend can
+ *     succeed
+ * @param failedLeaves whether a server error of an idempotent call that made no inner calls is retried at another
+ *     target; without it, one such failure among the many calls of a tree fails the whole tree
  */
 public record RetryPolicySettings(int resends, boolean failedLeaves) {
 
--- a/src/main/java/io/beryldock/retry/RetryQuestion.java
+++ b/src/main/java/io/beryldock/retry/RetryQuestion.java
@@ -3,18 +3,18 @@
 import io.beryldock.call.CallResult;
 
 /**
- * What is known when an attempt has ended without an answer.
+ * An attempt of a call that has ended, with all that the retry decision depends on.
  *
  * <p>Immutable.
  *
- * @param result how the last attempt ended
- * @param idempotent whether the route says that running it again does no harm
- * @param tries attempts made so far, at least 1
- * @param fullRefusals attempts so far that were refused by a full target
- * @param otherTargets targets of the service that were not tried yet
- * @param remainingNanos time left for the call
- * @param expectedNanos time that an attempt is expected to take
- * @param rank of the request, 0 is the most important
+ * @param result result of the attempt
+ * @param idempotent whether the route is declared idempotent, so that the call may run twice
+ * @param tries number of attempts made so far, at least 1
+ * @param fullRefusals number of attempts so far that a full target refused
+ * @param otherTargets number of targets of the service that were not tried yet
+ * @param remainingNanos time left until the deadline of the call
+ * @param expectedNanos expected duration of an attempt
+ * @param rank priority rank of the request, 0 is the most important
  * @param suspect whether the request was in flight when a target crashed
  */
 public record RetryQuestion(
--- a/src/main/java/io/beryldock/retry/SettleGuard.java
+++ b/src/main/java/io/beryldock/retry/SettleGuard.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** Lets a grant be settled: given back or lost. Thread safe. */
+/** Decides whether a settlement of a grant, as given back or lost, takes effect. Thread safe. */
 @FunctionalInterface
 interface SettleGuard {
 
-    /** Whether this settlement counts. */
+    /** Whether this settlement takes effect. */
     boolean admit();
 
     /** Admits the first settlement only. */
--- a/src/main/java/io/beryldock/retry/TokenRetryBudget.java
+++ b/src/main/java/io/beryldock/retry/TokenRetryBudget.java
@@ -3,11 +3,10 @@
 import io.beryldock.time.Ticker;
 
 /**
- * Limits retries by tokens: each first try adds a part of one.
+ * Retry budget as a token bucket to which each first attempt adds a fraction of a token.
  *
- * <p>Guards against an outage that turns into load: when every call fails, retries would double or triple the traffic
- * just when there is too much of it. Invariant: up to any moment, retries are at most share * first tries + floor *
- * seconds + burst. Thread safe.
+ * <p>Guards against retries that double or triple the traffic during an outage, when every call fails. Invariant: at
+ * any time, the retries made so far are at most share * first attempts + floor * seconds + burst. Thread safe.
  */
 public final class TokenRetryBudget implements RetryBudget {
 
@@ -36,7 +35,7 @@
         shareTokens += settings.share();
     }
 
-    /** Counts as a first try: the share is small enough that repeats of repeats stay within what is allowed. */
+    /** Counts as a first attempt, since the share is small enough to keep repeated repetitions within the limit. */
     @Override
     public void onRepeat() {
         onFirstTry();
@@ -57,7 +56,7 @@
     }
 
     @Override
-    public synchronized void putBack() {
+    public synchronized void refund() {
         shareTokens += 1;
     }
 
--- a/src/main/java/io/beryldock/retry/WindowRetryBudget.java
+++ b/src/main/java/io/beryldock/retry/WindowRetryBudget.java
@@ -5,88 +5,92 @@
 import java.time.Duration;
 
 /**
- * Limits the repeats that one node sends to a service to a share of its first tries, counted over sliding windows.
+ * Retry budget that limits the repeats sent by one node to a service to a share of its first attempts in a sliding
+ * window.
  *
- * <p>A repeat is a retry, or a call of a run that itself repeats one. Invariant: when a retry is granted, the repeats
- * of the window that ends then are at most the share of that window's first tries and the floor. As each node keeps it
- * for itself, all nodes together do. Repeats that can't be refused count too and leave less to retry.
+ * <p>A repeat is a retry, or a call made by a run that is itself a repetition. Invariant: when a retry is granted, the
+ * repeats in the window that ends then are at most the share of that window's first attempts plus the floor. Since each
+ * node keeps this limit, all nodes together keep it. Repeats that can't be refused count too and leave fewer retries.
  *
- * <p>Guards against a service that turns away half of its calls, whatever their number: a tree of many calls is lost
- * with one of them. Retries that are spread evenly over all trees save none, so a request may use only what more
- * important ones, at the rate at which they ask of late, leave of the budget. Thread safe.
+ * <p>Guards against a service that refuses half of its calls regardless of load, where one refused call fails a whole
+ * tree of calls. Retries spread evenly over all trees would save none of them. A request may therefore use only what
+ * requests of more important ranks, at their recent rate, leave of the budget. Thread safe.
  */
 public final class WindowRetryBudget implements RetryBudget {
 
-    /** Buckets of a window, the one that is being filled among them. */
+    /** Number of buckets in a window, including the one being filled. */
     private static final int BUCKETS = 20;
 
-    /** One more than a window has: the oldest lies in it with a part. */
-    private static final int SLOTS = BUCKETS + 1;
+    /** One bucket more than the window, because the window covers a part of the oldest bucket. */
+    private static final int RING_SIZE = BUCKETS + 1;
 
-    /** Newest buckets by which the rate of asking is told, a tenth of the window: a rise must count at once. */
-    private static final int RECENT = 2;
+    /**
+     * Newest buckets from which the request rate is estimated; a tenth of the window, so that a rise counts quickly.
+     */
+    private static final int RATE_BUCKETS = 2;
 
     private final Ticker ticker;
-    private final Terms terms;
+    private final Terms limits;
     private final long bucketNanos;
-    private final int[] firstTries = new int[SLOTS];
-    private final int[] repeats = new int[SLOTS];
-    private final int[][] asked = new int[PriorityClass.RANKS][SLOTS];
+    private final int[] firstTries = new int[RING_SIZE];
+    private final int[] repeats = new int[RING_SIZE];
+    private final int[][] requested = new int[PriorityClass.RANKS][RING_SIZE];
     private long bucket;
 
-    private WindowRetryBudget(Ticker ticker, Terms terms) {
+    private WindowRetryBudget(Ticker ticker, Terms limits) {
         this.ticker = ticker;
-        this.terms = terms;
-        this.bucketNanos = terms.window().toNanos() / BUCKETS;
+        this.limits = limits;
+        this.bucketNanos = limits.window().toNanos() / BUCKETS;
         this.bucket = Math.floorDiv(ticker.nanos(), bucketNanos);
     }
 
     /**
-     * Terms of a budget. Immutable.
+     * Limits of a budget. Immutable.
      *
-     * @param share repeats allowed as a share of first tries
-     * @param floor repeats allowed beside the share, a window
+     * @param share repeats allowed as a share of first attempts
+     * @param floor repeats allowed in each window in addition to the share
+     * @param window length of the sliding window, at least 20 ms
      */
     public record Terms(double share, int floor, Duration window) {
 
         public Terms {
             if (share < 0 || share > 1 || floor < 0 || window.compareTo(Duration.ofMillis(BUCKETS)) < 0) {
-                throw new IllegalArgumentException("share 0 to 1, floor 0 or more, window 20 ms or more are needed");
+                throw new IllegalArgumentException("share must be 0 to 1, floor at least 0 and window at least 20 ms");
             }
         }
     }
 
-    public static WindowRetryBudget create(Ticker ticker, Terms terms) {
-        return new WindowRetryBudget(ticker, terms);
+    public static WindowRetryBudget create(Ticker ticker, Terms limits) {
+        return new WindowRetryBudget(ticker, limits);
     }
 
     @Override
     public synchronized void onFirstTry() {
         advance();
-        firstTries[slot(bucket)]++;
+        firstTries[ringIndex(bucket)]++;
     }
 
     @Override
     public synchronized void onRepeat() {
         advance();
-        repeats[slot(bucket)]++;
+        repeats[ringIndex(bucket)]++;
     }
 
     @Override
     public synchronized boolean tryRetry(int rank) {
         advance();
-        asked[rank][slot(bucket)]++;
-        if (used() + 1 > allowed() - reservedBefore(rank)) {
+        requested[rank][ringIndex(bucket)]++;
+        if (used() + 1 > allowed() - reservedForHigherRanks(rank)) {
             return false;
         }
-        repeats[slot(bucket)]++;
+        repeats[ringIndex(bucket)]++;
         return true;
     }
 
     @Override
-    public synchronized void putBack() {
+    public synchronized void refund() {
         advance();
-        repeats[slot(bucket)]--;
+        repeats[ringIndex(bucket)]--;
     }
 
     @Override
@@ -95,45 +99,45 @@
         return (int) Math.max(0, allowed() - used());
     }
 
-    /** What requests of more important ranks would ask for in a window. */
-    private int reservedBefore(int rank) {
-        int recent = 0;
+    /** Retries that requests of more important ranks will ask for in a window at their recent rate. */
+    private int reservedForHigherRanks(int rank) {
+        int requests = 0;
         for (int i = 0; i < rank; i++) {
-            recent += sum(asked[i], RECENT);
+            requests += sum(requested[i], RATE_BUCKETS);
         }
-        return recent * BUCKETS / RECENT;
+        return requests * BUCKETS / RATE_BUCKETS;
     }
 
     private double allowed() {
-        return terms.share() * sum(firstTries, BUCKETS) + terms.floor();
+        return limits.share() * sum(firstTries, BUCKETS) + limits.floor();
     }
 
     private int used() {
-        return sum(repeats, SLOTS);
+        return sum(repeats, RING_SIZE);
     }
 
     private int sum(int[] counts, int buckets) {
         int sum = 0;
         for (int i = 0; i < buckets; i++) {
-            sum += counts[slot(bucket - i)];
+            sum += counts[ringIndex(bucket - i)];
         }
         return sum;
     }
 
     private void advance() {
         long current = Math.floorDiv(ticker.nanos(), bucketNanos);
-        long from = Math.max(bucket + 1, current - SLOTS + 1);
+        long from = Math.max(bucket + 1, current - RING_SIZE + 1);
         for (long i = from; i <= current; i++) {
-            firstTries[slot(i)] = 0;
-            repeats[slot(i)] = 0;
-            for (int[] ofRank : asked) {
-                ofRank[slot(i)] = 0;
+            firstTries[ringIndex(i)] = 0;
+            repeats[ringIndex(i)] = 0;
+            for (int[] counts : requested) {
+                counts[ringIndex(i)] = 0;
             }
         }
         bucket = Math.max(bucket, current);
     }
 
-    private static int slot(long number) {
-        return (int) Math.floorMod(number, (long) SLOTS);
+    private static int ringIndex(long number) {
+        return (int) Math.floorMod(number, (long) RING_SIZE);
     }
 }
--- a/src/test/java/io/beryldock/retry/CallTree.java
+++ b/src/test/java/io/beryldock/retry/CallTree.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Runs trees of calls over real ledgers, with refused calls and lost answers. */
+/** Simulates call trees with real retry ledgers, refused calls and lost answers. */
 final class CallTree {
 
     private final GrantPolicy policy;
@@ -26,17 +26,23 @@
         this.ids = RequestIds.of(Incarnation.random(random));
     }
 
-    /** Inner calls of one run: how many at each depth and whether they are made at once. */
+    /**
+     * Shape of a call tree.
+     *
+     * @param depth number of layers of inner calls
+     * @param fanOut inner calls of each run
+     * @param parallel whether the inner calls of a run are made in parallel
+     */
     record Shape(String name, int depth, int fanOut, boolean parallel) {}
 
-    /** Runs one root request; true when it was answered whole. */
+    /** Runs one root request; true when all calls of its tree were answered. */
     boolean run(Shape shape, int allowance) {
         retries = 0;
         RetryAccount root = ledger.open(ids.next(), allowance);
         List<RetryGrant> first = grants(shape, root, 0, 1);
-        boolean whole = attemptUntilDone(shape, root, 0, first.get(0));
+        boolean complete = attemptUntilDone(shape, root, 0, first.get(0));
         root.close();
-        return whole;
+        return complete;
     }
 
     int retries() {
@@ -47,7 +53,7 @@
         return calls;
     }
 
-    /** A call made from {@code account}, at {@code depth} of its caller; retried while the account allows. */
+    /** Makes a call for a caller at {@code depth}, with retries while the caller's {@code account} holds any. */
     private boolean attemptUntilDone(Shape shape, RetryAccount account, int depth, RetryGrant first) {
         RetryGrant grant = first;
         while (true) {
@@ -56,11 +62,11 @@
                 grant.giveBack(grant.amount());
             } else {
                 RetryAccount child = ledger.open(ids.next(), grant.amount());
-                boolean whole = runTarget(shape, child, depth + 1);
+                boolean complete = runTarget(shape, child, depth + 1);
                 int unspent = child.close();
                 if (random.nextDouble() >= lost) {
                     grant.giveBack(unspent);
-                    if (whole) {
+                    if (complete) {
                         return true;
                     }
                 } else {
@@ -71,7 +77,7 @@
                 return false;
             }
             retries++;
-            grant = account.grant(policy, leaf(shape, depth));
+            grant = account.grant(policy, isLeaf(shape, depth));
         }
     }
 
@@ -80,25 +86,25 @@
             return true;
         }
         List<RetryGrant> early = shape.parallel() ? grants(shape, account, depth, shape.fanOut()) : List.of();
-        boolean whole = true;
+        boolean complete = true;
         for (int i = 0; i < shape.fanOut(); i++) {
-            if (!whole && !shape.parallel()) {
+            if (!complete && !shape.parallel()) {
                 return false;
             }
-            RetryGrant grant = shape.parallel() ? early.get(i) : account.grant(policy, leaf(shape, depth));
-            whole &= attemptUntilDone(shape, account, depth, grant);
+            RetryGrant grant = shape.parallel() ? early.get(i) : account.grant(policy, isLeaf(shape, depth));
+            complete &= attemptUntilDone(shape, account, depth, grant);
         }
-        return whole;
+        return complete;
     }
 
-    private static boolean leaf(Shape shape, int callerDepth) {
+    private static boolean isLeaf(Shape shape, int callerDepth) {
         return callerDepth + 1 >= shape.depth();
     }
 
     private List<RetryGrant> grants(Shape shape, RetryAccount account, int depth, int count) {
         List<RetryGrant> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            list.add(account.grant(policy, leaf(shape, depth)));
+            list.add(account.grant(policy, isLeaf(shape, depth)));
         }
         return list;
     }
--- a/src/test/java/io/beryldock/retry/GrantPolicyMeasurementTest.java
+++ b/src/test/java/io/beryldock/retry/GrantPolicyMeasurementTest.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Measures which way of handing on the allowance leaves fewest root requests unanswered; prints the table. */
+/** Compares the share of root requests left unanswered by each grant policy and prints the table. */
 class GrantPolicyMeasurementTest {
 
     private static final int REQUESTS = 4_000;
@@ -55,9 +55,9 @@
         map.put("all", GrantPolicy.all());
         map.put("keepOne", GrantPolicy.keepOne());
         map.put("half", GrantPolicy.half());
-        map.put("keepOne, no leaves", GrantPolicy.sparingLeaves(GrantPolicy.keepOne()));
-        map.put("all, no leaves", GrantPolicy.sparingLeaves(GrantPolicy.all()));
-        map.put("half, no leaves", GrantPolicy.sparingLeaves(GrantPolicy.half()));
+        map.put("keepOne, no leaves", GrantPolicy.withholdingFromLeaves(GrantPolicy.keepOne()));
+        map.put("all, no leaves", GrantPolicy.withholdingFromLeaves(GrantPolicy.all()));
+        map.put("half, no leaves", GrantPolicy.withholdingFromLeaves(GrantPolicy.half()));
         map.put("standard", GrantPolicy.standard());
         return map;
     }
--- a/src/test/java/io/beryldock/retry/RandomTree.java
+++ b/src/test/java/io/beryldock/retry/RandomTree.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 
 /**
- * One root request whose calls and answers arrive in random order, are lost, late, duplicated or claim more than
- * was granted.
+ * Simulates one root request whose calls and answers are reordered, lost, delayed or duplicated, or claim more retries
+ * than were granted.
  *
- * <p>Each message is an event; a random one of those under way happens next.
+ * <p>Each message is an event, and the next event is a random one of those pending.
  */
 final class RandomTree {
 
@@ -22,14 +22,14 @@
     private static final double DUPLICATED = 0.15;
     private static final double TIMED_OUT = 0.1;
     private static final double FAILED = 0.3;
-    private static final double LYING = 0.05;
+    private static final double OVERCLAIMED = 0.05;
 
     private final RetryLedger ledger;
     private final Random random;
     private final RequestIds ids;
     private final int maxDepth;
     private final int maxFanOut;
-    private final List<Runnable> underWay = new ArrayList<>();
+    private final List<Runnable> pending = new ArrayList<>();
     private final Set<RetryAccount> accounts = new HashSet<>();
     private int calls;
     private int retries;
@@ -43,11 +43,11 @@
         this.maxFanOut = maxFanOut;
     }
 
-    /** Runs the tree until nothing is under way. */
+    /** Runs the tree until no event is pending. */
     void run(int allowance) {
         new Run(ledger.open(ids.next(), allowance), 0, unspent -> {}).start();
-        while (!underWay.isEmpty()) {
-            underWay.remove(random.nextInt(underWay.size())).run();
+        while (!pending.isEmpty()) {
+            pending.remove(random.nextInt(pending.size())).run();
         }
     }
 
@@ -71,18 +71,18 @@
         if (chance(LOST)) {
             return;
         }
-        underWay.add(message);
+        pending.add(message);
         if (chance(DUPLICATED)) {
-            underWay.add(message);
+            pending.add(message);
         }
     }
 
-    /** Takes the unspent part that an answer brings. */
+    /** Receives the answer of a run with its number of unspent retries. */
     private interface Reply {
         void answer(int unspent);
     }
 
-    /** One run of a target: some inner calls, then the answer. */
+    /** One run of a target: makes inner calls, then answers. */
     private final class Run {
         private final RetryAccount account;
         private final int depth;
@@ -102,9 +102,9 @@
             open = 1;
             for (int i = 0; i < inner; i++) {
                 open++;
-                underWay.add(this::attempt);
+                pending.add(this::attempt);
             }
-            underWay.add(this::ended);
+            pending.add(this::ended);
         }
 
         private void attempt() {
@@ -116,13 +116,13 @@
             RequestId id = ids.next();
             Attempt attempt = new Attempt(this, grant);
             send(() -> new Run(ledger.open(id, grant.amount()), depth + 1, attempt::onAnswer).start());
-            underWay.add(attempt::onTimer);
+            pending.add(attempt::onTimer);
         }
 
         private void attemptFailed() {
             if (account.takeRetry()) {
                 retries++;
-                underWay.add(this::attempt);
+                pending.add(this::attempt);
             } else {
                 ended();
             }
@@ -130,15 +130,15 @@
 
         private void ended() {
             open--;
-            boolean leavesEarly = open > 0 && chance(LOST);
-            if (open == 0 || leavesEarly) {
+            boolean answersEarly = open > 0 && chance(LOST);
+            if (open == 0 || answersEarly) {
                 int unspent = account.close();
                 send(() -> reply.answer(unspent));
             }
         }
     }
 
-    /** One attempt of an inner call as its caller sees it. */
+    /** One attempt of an inner call, as seen by its caller. */
     private final class Attempt {
         private final Run caller;
         private final RetryGrant grant;
@@ -150,21 +150,21 @@
         }
 
         void onAnswer(int unspent) {
-            boolean untouched = unspent == grant.amount();
-            grant.giveBack(untouched && chance(LYING) ? unspent + 3 : unspent);
+            boolean fullyUnspent = unspent == grant.amount();
+            grant.giveBack(fullyUnspent && chance(OVERCLAIMED) ? unspent + 3 : unspent);
             end(chance(FAILED));
         }
 
-        /** Its time is over, mostly only after all answers that can still come. */
+        /** Times the attempt out, in most cases only after all answers that can still arrive. */
         void onTimer() {
-            if (!over && !underWay.isEmpty() && !chance(TIMED_OUT)) {
-                underWay.add(this::onTimerLater);
+            if (!over && !pending.isEmpty() && !chance(TIMED_OUT)) {
+                pending.add(this::timeOut);
                 return;
             }
-            onTimerLater();
+            timeOut();
         }
 
-        private void onTimerLater() {
+        private void timeOut() {
             grant.lose();
             end(true);
         }
--- a/src/test/java/io/beryldock/retry/RetryBenchmark.java
+++ b/src/test/java/io/beryldock/retry/RetryBenchmark.java
@@ -19,7 +19,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Time of the retry decisions of one call. */
+/** Measures the time that retry accounting and decisions add to a call. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -39,7 +39,7 @@
     private final RetryQuestion refused = new RetryQuestion(
             CallResult.notRun(Reason.SHED_AT_TARGET, ""), true, 1, 1, 3, 1_000_000_000L, 1_000_000L, 0, false);
 
-    /** An account opened, two parts handed on and taken back, and closed: what each run of a target costs. */
+    /** Cost for each run of a target: opens an account, grants twice, settles both grants and closes the account. */
     @Benchmark
     public int accountOfARun() {
         RetryAccount account = ledger.open(ids.next(), 4);
--- a/src/test/java/io/beryldock/retry/RetryGateTest.java
+++ b/src/test/java/io/beryldock/retry/RetryGateTest.java
@@ -14,16 +14,16 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The retries of 95 nodes that share what a deployment allows: a fifth of first tries and 124 in ten seconds. */
+/** Retries of 95 nodes that share the limit of a deployment: a fifth of first attempts plus 124 in ten seconds. */
 final class RetryGateTest {
 
     private static final int NODES = 95;
     private static final int TARGETS = 30;
     private static final int ROUNDS = 10;
     private static final Duration WINDOW = Duration.ofSeconds(10);
-    private static final double SLACK_OF_A_NODE = 62.0 / NODES;
+    private static final double FLOOR_OF_A_NODE = 62.0 / NODES;
     private static final RetryBudgetSettings SETTINGS =
-            new RetryBudgetSettings(0.02, SLACK_OF_A_NODE / 10, SLACK_OF_A_NODE, WINDOW);
+            new RetryBudgetSettings(0.02, FLOOR_OF_A_NODE / 10, FLOOR_OF_A_NODE, WINDOW);
 
     private final ManualTimerService timers = ManualTimerService.create();
     private final RequestIds ids = RequestIds.of(Incarnation.random(new Random(1)));
@@ -31,7 +31,7 @@
     private final RetryGate gate = RetryGate.create(RetryPolicy.create(), EventSink.none());
     private final Random random = new Random(7);
 
-    private boolean isTriedElsewhere(CallResult refusal, RetryBudget budget) {
+    private boolean isRetriedElsewhere(CallResult refusal, RetryBudget budget) {
         RetryQuestion question = new RetryQuestion(
                 refusal, true, 1, 1, TARGETS - 1, Duration.ofSeconds(1).toNanos(), 0, 0, false);
         RetryAccount account = ledger.open(ids.next(), 1);
@@ -48,56 +48,58 @@
         return budgets;
     }
 
-    /** Requests that met the reason at a target, and how many of them were tried at another one. */
-    private double shareTriedElsewhere(Reason reason) {
-        int met = 0;
-        int tried = 0;
+    /** Share of the requests refused for the reason that are retried at another target. */
+    private double shareRetriedElsewhere(Reason reason) {
+        int refused = 0;
+        int retried = 0;
         List<RetryBudget> budgets = budgets();
         for (int round = 0; round < ROUNDS; round++) {
             for (RetryBudget budget : budgets) {
                 budget.onFirstTry();
                 boolean full = random.nextInt(TARGETS) < TARGETS / 10;
-                met += full ? 1 : 0;
-                tried += full && isTriedElsewhere(CallResult.notRun(reason, ""), budget) ? 1 : 0;
+                refused += full ? 1 : 0;
+                retried += full && isRetriedElsewhere(CallResult.notRun(reason, ""), budget) ? 1 : 0;
             }
             timers.advance(Duration.ofMillis(700));
         }
-        assertThat(met).isPositive();
-        return (double) tried / met;
+        assertThat(refused).isPositive();
+        return (double) retried / refused;
     }
 
     /**
-     * Story: a page fails with 503 while nine targets in ten of the service have room. One inner call met a full
-     * target; its node's part of the retries that 95 nodes share is less than one, so it was not tried elsewhere.
+     * Guards against requests that fail with 503 although nine in ten targets of a service have free slots: an inner
+     * call is refused by a full target, and since the budget shared by 95 nodes leaves each node less than one retry,
+     * the call is not sent to another target.
      */
     @Test
-    void refusalOfAGateIsTriedElsewhereWhateverTheBudget() {
-        assertThat(shareTriedElsewhere(Reason.SHED_AT_TARGET)).isEqualTo(1);
-        assertThat(shareTriedElsewhere(Reason.QUEUED_TOO_LONG)).isEqualTo(1);
+    void refusalByAGateIsRetriedElsewhereRegardlessOfTheBudget() {
+        assertThat(shareRetriedElsewhere(Reason.SHED_AT_TARGET)).isEqualTo(1);
+        assertThat(shareRetriedElsewhere(Reason.QUEUED_TOO_LONG)).isEqualTo(1);
     }
 
     /**
-     * Story: pages fail for two seconds after each restart of a node. Until its target's next heartbeat the node says
-     * that it has no target, or takes no connection yet, and nobody asked another one.
+     * Guards against requests that fail for two seconds after each restart of a node: until the next heartbeat of its
+     * target the node refuses connections or answers that it has no target, and the calls are not sent to another
+     * target.
      */
     @Test
-    void startingOrAbsentNodeIsPassedOverWhateverTheBudget() {
-        assertThat(shareTriedElsewhere(Reason.NO_TARGET)).isEqualTo(1);
-        assertThat(shareTriedElsewhere(Reason.CONNECT_FAILED)).isEqualTo(1);
-        assertThat(shareTriedElsewhere(Reason.DRAINING)).isEqualTo(1);
+    void startingOrAbsentTargetIsSkippedRegardlessOfTheBudget() {
+        assertThat(shareRetriedElsewhere(Reason.NO_TARGET)).isEqualTo(1);
+        assertThat(shareRetriedElsewhere(Reason.CONNECT_FAILED)).isEqualTo(1);
+        assertThat(shareRetriedElsewhere(Reason.DRAINING)).isEqualTo(1);
     }
 
-    /** What reached a target may be work for it, so that the deployment's budget binds. */
+    /** A call that may have reached a target may have added load there, so its retry is charged to the budget. */
     @Test
-    void whatMayHaveReachedATargetIsPaidFromTheBudget() {
-        assertThat(shareTriedElsewhere(Reason.TARGET_REFUSED)).isLessThan(0.1);
+    void callThatMayHaveReachedATargetIsChargedToTheBudget() {
+        assertThat(shareRetriedElsewhere(Reason.TARGET_REFUSED)).isLessThan(0.1);
         CallResult lost = CallResult.unknown(Reason.CONNECTION_LOST, "");
-        assertThat(isTriedElsewhere(lost, budgets().get(0))).isFalse();
+        assertThat(isRetriedElsewhere(lost, budgets().get(0))).isFalse();
     }
 
-    /** The allowance of the request bounds its tries also where the budget does not. */
+    /** The allowance of the request limits its attempts also where the budget does not apply. */
     @Test
-    void allowanceOfTheRequestStillBinds() {
+    void allowanceOfTheRequestStillLimitsRetries() {
         RetryAccount account = ledger.open(ids.next(), 1);
         RetryQuestion question = new RetryQuestion(
                 CallResult.notRun(Reason.SHED_AT_TARGET, ""),
--- a/src/test/java/io/beryldock/retry/RetryLedgerPropertyTest.java
+++ b/src/test/java/io/beryldock/retry/RetryLedgerPropertyTest.java
@@ -8,9 +8,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A reader's page stands on a deep tree of calls, and each layer retries. Calls and answers are lost, come late, twice
- * or claim more than was handed on. Without one allowance for the tree the retries multiply from layer to layer, and a
- * short fault becomes an overload that feeds itself.
+ * Guards against retries that multiply from layer to layer of a deep call tree, which turn a short fault into a
+ * self-sustaining overload.
+ *
+ * <p>Calls and answers are lost, delayed or duplicated, or claim more retries than were granted. The retries of the
+ * whole tree must stay within the allowance of its root.
  */
 class RetryLedgerPropertyTest {
 
@@ -26,7 +28,7 @@
         assertThat(tree.retries()).isLessThanOrEqualTo(allowance);
         assertThat(ledger.violations()).isZero();
         assertThat(tree.accounts())
-                .allSatisfy(account -> assertThat(account.state().addsUp()).isTrue());
+                .allSatisfy(account -> assertThat(account.state().isBalanced()).isTrue());
     }
 
     @Test
@@ -40,9 +42,9 @@
         assertThat(deepest).isEqualTo(17);
     }
 
-    /** The same run with grants that can be given back twice: the check inside the account must see it. */
+    /** Checks that the invariant of the account detects grants that are given back twice. */
     @Test
-    void givingBackTwiceIsCaught() {
+    void givingBackTwiceIsDetected() {
         int caught = 0;
         for (int seed = 0; seed < 200; seed++) {
             RetryLedger broken = RetryLedger.withGuard(() -> () -> true);
--- a/src/test/java/io/beryldock/retry/RetryPolicyTest.java
+++ b/src/test/java/io/beryldock/retry/RetryPolicyTest.java
@@ -33,11 +33,11 @@
     }
 
     /**
-     * A librarian orders a course text, the target's connection breaks after the order was stored. Sending the order
-     * again would buy the book twice.
+     * Guards against an order that is placed twice: the connection to the target breaks after the order was stored, and
+     * the call is sent again.
      */
     @Test
-    void whatMayHaveRunIsNotRepeatedUnlessIdempotent() {
+    void callThatMayHaveRunIsRetriedOnlyIfIdempotent() {
         for (Reason reason : Reason.values()) {
             CallResult result = CallResult.unknown(reason, "");
             assertThat(policy.decide(question(result, false))).isEqualTo(RetryDecision.STOP_MAY_HAVE_RUN);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void onlyRefusalsOfOneTargetAreTriedElsewhere() {
+    void onlyRefusalsByOneTargetAreRetriedElsewhere() {
         EnumSet<Reason> retried = EnumSet.noneOf(Reason.class);
         for (Reason reason : Reason.values()) {
             if (policy.decide(question(CallResult.notRun(reason, ""), false)).isRetry()) {
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void stopsForTimeTargetsFullServiceAndSuspects() {
+    void stopsWithoutTimeOrTargetsForAFullServiceAndForSuspects() {
         CallResult shed = CallResult.notRun(Reason.SHED_AT_TARGET, "");
         assertThat(policy.decide(new RetryQuestion(shed, true, 1, 1, 3, SECOND / 20, SECOND / 10, 0, false)))
                 .isEqualTo(RetryDecision.STOP_NO_TIME);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void aRefusedRetryLeavesBudgetAndAccountAsTheyWere() {
+    void deniedRetryLeavesBudgetAndAccountUnchanged() {
         ManualTimerService time = ManualTimerService.create();
         RetryGate gate = RetryGate.create(policy, EventSink.none());
         RetryLedger ledger = RetryLedger.create();
@@ -107,11 +107,12 @@
     }
 
     /**
-     * Every call of a service fails for a minute and each caller tries again. With three tries a layer the failing
-     * service gets three times its load and can't come back. The budget keeps retries to a tenth of first tries.
+     * Guards against an outage that retries prolong: all calls to a service fail for a minute, and with three attempts
+     * at each layer it gets three times its load and can't recover. The budget limits retries to a tenth of first
+     * attempts.
      */
     @Test
-    void anOutageAddsATenthOfTheLoad() {
+    void retriesDuringAnOutageAddATenthOfTheLoad() {
         ManualTimerService time = ManualTimerService.create();
         RetryBudget budget = TokenRetryBudget.create(time.ticker(), RetryBudgetSettings.defaults());
         int calls = 55 * 60;
@@ -127,7 +128,7 @@
     }
 
     @Test
-    void aBudgetNotUsedFadesAndKeepsItsFloor() {
+    void unusedBudgetDecaysToItsFloor() {
         ManualTimerService time = ManualTimerService.create();
         RetryBudget budget = TokenRetryBudget.create(time.ticker(), RetryBudgetSettings.defaults());
         for (int i = 0; i < 1000; i++) {
@@ -139,7 +140,7 @@
     }
 
     @Test
-    void waitsAreSpread() {
+    void delaysAreSpread() {
         Backoff backoff = Backoff.create(new Random(3), Duration.ofMillis(10), Duration.ofMillis(100));
         long longest = 0;
         for (int i = 0; i < 1000; i++) {
@@ -151,7 +152,7 @@
     }
 
     @Test
-    void aServiceIsALeafUntilAnAnswerNamesAnotherBeneath() {
+    void serviceIsALeafUntilAnAnswerNamesAnotherService() {
         LeafTracker leaves = LeafTracker.create();
         var holdings = ServiceName.of("holdings");
         var stock = ServiceName.of("stock");
@@ -165,26 +166,30 @@
         assertThat(leaves.isLeaf(holdings)).isFalse();
     }
 
-    /** Guards against trees that are lost because a target with free slots turned one of their calls away. */
+    /** Guards against call trees that fail because a target refused one of their calls although it has free slots. */
     @Test
-    void whatATargetWithFreeSlotsTurnedAwayIsSentAgainSomeTimes() {
-        RetryPolicy resending = RetryPolicy.create(new RetryPolicySettings(2, false));
+    void callRefusedDespiteFreeSlotsIsResentUpToTheLimit() {
+        RetryPolicy resendPolicy = RetryPolicy.create(new RetryPolicySettings(2, false));
         CallResult refused = CallResult.notRun(Reason.TARGET_REFUSED, "");
-        CallResult withRoom = refused.withLoad(new TargetLoad(1, 16, 3, 0, 0, false, false));
-        CallResult full = refused.withLoad(new TargetLoad(1, 16, 16, 0, 0, false, false));
-        assertThat(resending.decide(question(withRoom, 2))).isEqualTo(RetryDecision.RESEND);
-        assertThat(resending.decide(question(withRoom, 3))).isEqualTo(RetryDecision.STOP_SERVICE_FULL);
-        assertThat(resending.decide(question(full, 2))).isEqualTo(RetryDecision.STOP_SERVICE_FULL);
-        assertThat(policy.decide(question(withRoom, 2))).isEqualTo(RetryDecision.STOP_SERVICE_FULL);
+        CallResult freeSlots = refused.withLoad(new TargetLoad(1, 16, 3, 0, 0, false, false));
+        CallResult noFreeSlots = refused.withLoad(new TargetLoad(1, 16, 16, 0, 0, false, false));
+        assertThat(resendPolicy.decide(question(freeSlots, 2))).isEqualTo(RetryDecision.RESEND);
+        assertThat(resendPolicy.decide(question(freeSlots, 3))).isEqualTo(RetryDecision.STOP_SERVICE_FULL);
+        assertThat(resendPolicy.decide(question(noFreeSlots, 2))).isEqualTo(RetryDecision.STOP_SERVICE_FULL);
+        assertThat(policy.decide(question(freeSlots, 2))).isEqualTo(RetryDecision.STOP_SERVICE_FULL);
     }
 
     private static RetryQuestion question(CallResult result, int tries) {
         return new RetryQuestion(result, true, tries, 2, 3, SECOND, 0, 0, false);
     }
 
-    /** Guards against trees that are lost with one call that a failing target answered; those with calls run once. */
+    /**
+     * Guards against call trees that fail because one call was answered with a server error.
+     *
+     * <p>A call that made inner calls is not retried.
+     */
     @Test
-    void aFailureOfACallThatCalledNothingIsTriedElsewhere() {
+    void serverErrorOfALeafCallIsRetriedElsewhere() {
         RetryPolicy leaves = RetryPolicy.create(new RetryPolicySettings(0, true));
         TreeCost own = TreeCost.ofCall(ServiceName.of("stock"), 1_000);
         CallResult failed = CallResult.answered(new Answer(500, Headers.empty(), ByteString.EMPTY));
--- a/src/test/java/io/beryldock/retry/WindowRetryBudgetTest.java
+++ b/src/test/java/io/beryldock/retry/WindowRetryBudgetTest.java
@@ -11,12 +11,12 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Load pattern: a service turns away a part of its calls whatever their number, and trees make many of them. */
+/** Load pattern: a service refuses a share of its calls regardless of load, and each call tree makes many of them. */
 final class WindowRetryBudgetTest {
 
     private static final Duration WINDOW = Duration.ofSeconds(10);
     private static final double SHARE = 0.2;
-    private static final double TURNED_AWAY = 0.55;
+    private static final double REFUSED_SHARE = 0.55;
     private static final int CALLS_OF_A_TREE = 8;
     private static final int TRIES = 7;
     private static final int IMPORTANT = 0;
@@ -47,17 +47,17 @@
     }
 
     @Test
-    void aRetryThatWasNotMadeIsPutBack() {
+    void refundedRetryCanBeTakenAgain() {
         WindowRetryBudget budget = budget(1);
         assertThat(budget.tryRetry(IMPORTANT)).isTrue();
         assertThat(budget.tryRetry(IMPORTANT)).isFalse();
-        budget.putBack();
+        budget.refund();
         assertThat(budget.tryRetry(IMPORTANT)).isTrue();
     }
 
-    /** Guards against repeats of repeats that nobody counts: a run that is repeated makes its calls again. */
+    /** Guards against calls that bypass the budget because they are made again by a repeated run. */
     @Test
-    void callsOfARepeatedRunLeaveLessToRetry() {
+    void callsOfARepeatedRunReduceTheBudget() {
         WindowRetryBudget budget = budget(0);
         for (int i = 0; i < 100; i++) {
             budget.onFirstTry();
@@ -69,9 +69,9 @@
         assertThat(granted(budget, 100)).isEqualTo(5);
     }
 
-    /** Guards against a budget that a long pause of the node leaves full of what was before it. */
+    /** Guards against first attempts from before a long pause of the node that still count after it. */
     @Test
-    void whatWasBeforeAPauseCountsNoLonger() {
+    void firstTriesBeforeAPauseExpire() {
         WindowRetryBudget budget = budget(0);
         for (int i = 0; i < 1000; i++) {
             budget.onFirstTry();
@@ -80,9 +80,9 @@
         assertThat(budget.available()).isZero();
     }
 
-    /** Guards against a service that is flooded by repeats: the bound holds in each window, over all nodes. */
+    /** Guards against a service that is overloaded by repeats from many nodes. */
     @Test
-    void theBoundHoldsInEachWindowOverAllNodes() {
+    void limitHoldsInEachWindowOverAllNodes() {
         List<WindowRetryBudget> nodes = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             nodes.add(WindowRetryBudget.create(timers.ticker(), new WindowRetryBudget.Terms(0.9 * SHARE, 0, WINDOW)));
@@ -98,7 +98,7 @@
                 for (int call = 0; call < rate; call++) {
                     node.onFirstTry();
                     firsts[i]++;
-                    repeats[i] += random.nextDouble() < TURNED_AWAY && node.tryRetry(IMPORTANT) ? 1 : 0;
+                    repeats[i] += random.nextDouble() < REFUSED_SHARE && node.tryRetry(IMPORTANT) ? 1 : 0;
                 }
             }
             timers.advance(Duration.ofMillis(step));
@@ -119,51 +119,52 @@
     }
 
     /**
-     * Guards against retries that save nobody: orders and pages are mixed one to three and both lose 0.55 of their
-     * calls for 8 s. By tokens each call gets what is there and nearly all trees fail; here four in ten of the orders
-     * end well.
+     * Guards against retries that are spread over all call trees and save none of them.
+     *
+     * <p>Important and other trees are mixed one to three, and 0.55 of all calls are refused for 8 s. A token budget
+     * serves calls in order of arrival and nearly all trees fail; the window budget saves four in ten important trees.
      */
     @Test
-    void importantTreesAreSavedWhileMoreThanHalfOfTheCallsAreTurnedAway() {
-        double tokens = ordersSaved(
+    void importantTreesSucceedWhileMoreThanHalfOfTheCallsAreRefused() {
+        double tokens = importantTreesSaved(
                 TokenRetryBudget.create(timers.ticker(), new RetryBudgetSettings(SHARE / 10, 0, 0, WINDOW)));
-        double windowed = ordersSaved(budget(0));
+        double windowed = importantTreesSaved(budget(0));
         assertThat(tokens).isLessThan(0.1);
         assertThat(windowed).isGreaterThan(0.4);
     }
 
-    private double ordersSaved(RetryBudget budget) {
-        Deque<Integer> calm = new ArrayDeque<>(List.of(IMPORTANT, OTHER, OTHER, OTHER));
-        int saved = 0;
-        int orders = 0;
+    private double importantTreesSaved(RetryBudget budget) {
+        Deque<Integer> ranks = new ArrayDeque<>(List.of(IMPORTANT, OTHER, OTHER, OTHER));
+        int succeededTrees = 0;
+        int trees = 0;
         for (int i = 0; i < 4 * 180; i++) {
-            boolean sheds = i >= 4 * 100;
-            int rank = calm.removeFirst();
-            calm.addLast(rank);
-            boolean well = runs(budget, rank, sheds);
-            boolean counts = sheds && rank == IMPORTANT;
-            orders += counts ? 1 : 0;
-            saved += counts && well ? 1 : 0;
+            boolean refuses = i >= 4 * 100;
+            int rank = ranks.removeFirst();
+            ranks.addLast(rank);
+            boolean succeeded = runs(budget, rank, refuses);
+            boolean counts = refuses && rank == IMPORTANT;
+            trees += counts ? 1 : 0;
+            succeededTrees += counts && succeeded ? 1 : 0;
             timers.advance(Duration.ofMillis(25));
         }
-        return (double) saved / orders;
+        return (double) succeededTrees / trees;
     }
 
-    private boolean runs(RetryBudget budget, int rank, boolean sheds) {
+    private boolean runs(RetryBudget budget, int rank, boolean refuses) {
         for (int call = 0; call < CALLS_OF_A_TREE; call++) {
             budget.onFirstTry();
-            if (sheds && !isTaken(budget, rank)) {
+            if (refuses && !isAccepted(budget, rank)) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean isTaken(RetryBudget budget, int rank) {
-        boolean taken = random.nextDouble() >= TURNED_AWAY;
-        for (int tries = 1; !taken && tries < TRIES && budget.tryRetry(rank); tries++) {
-            taken = random.nextDouble() >= TURNED_AWAY;
+    private boolean isAccepted(RetryBudget budget, int rank) {
+        boolean accepted = random.nextDouble() >= REFUSED_SHARE;
+        for (int tries = 1; !accepted && tries < TRIES && budget.tryRetry(rank); tries++) {
+            accepted = random.nextDouble() >= REFUSED_SHARE;
         }
-        return taken;
+        return accepted;
     }
 }
