--- a/src/main/java/io/beryldock/load/PauseDetector.java
+++ b/src/main/java/io/beryldock/load/PauseDetector.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * Tells which answers were sent before a pause of this node, so that what they report may be old.
+ * Detects pauses of this node, so that load reports that waited in its buffers meanwhile are not taken as recent.
  *
- * <p>A pause shows as a gap between events. A node without traffic has gaps as well, which does no harm: only answers
- * to calls that were sent before the gap are left out. Not thread safe; guarded by the lock of its owner.
+ * <p>A pause is detected as a gap between events. A node without traffic has gaps too, which does no harm: only reports
+ * in answers to calls that were sent before the gap are ignored. Not thread safe; guarded by the lock of its owner.
  */
 public final class PauseDetector {
 
@@ -20,7 +20,7 @@
         this.resumedAt = now;
     }
 
-    /** Something happened at this node. */
+    /** Records that this node is running. */
     public void onEvent(long now) {
         if (now - lastEvent > PAUSE_NANOS) {
             resumedAt = now;
@@ -28,8 +28,8 @@
         lastEvent = now;
     }
 
-    /** Whether the node has paused since then. */
-    public boolean hasPausedSince(long then) {
-        return then < resumedAt;
+    /** Whether a pause of the node has ended after the given time. */
+    public boolean hasPausedSince(long time) {
+        return time < resumedAt;
     }
 }
--- a/src/main/java/io/beryldock/load/ReportedLoad.java
+++ b/src/main/java/io/beryldock/load/ReportedLoad.java
@@ -5,73 +5,73 @@
 import java.util.Optional;
 
 /**
- * The newest report of load from one start of one target, as one caller knows it.
+ * The latest load report of one incarnation of a target, as received by one caller.
  *
- * <p>Its age is measured by the caller's own clock. It loses its weight with age, until the load counts as unknown.
- * Invariants: a report never replaces one with a higher version; calls sent since the report are never below 0. Not
- * thread safe; guarded by the lock of its owner.
+ * <p>The age of the report is measured with the caller's clock. Its weight falls with age until the load counts as
+ * unknown. Invariants: a report never replaces one with a higher version; the number of calls sent since the report is
+ * never negative. Not thread safe; guarded by the lock of its owner.
  */
 public final class ReportedLoad {
 
-    /** A service of a hundred slots turns over within about this time, so an older report tells nothing of now. */
-    static final long UNKNOWN_AFTER_NANOS = Duration.ofMillis(800).toNanos();
+    /** In about this time a service with 100 slots replaces all its requests, so an older report carries no weight. */
+    static final long MAX_AGE_NANOS = Duration.ofMillis(800).toNanos();
 
     private TargetLoad load;
-    private long heardAt;
+    private long receivedAt;
     private int sentSince;
 
-    /** Takes the report unless a newer one is known. */
+    /** Stores the report unless it is older than the current one. */
     public void onReport(TargetLoad report, long now) {
         if (load != null && report.version() <= load.version()) {
             return;
         }
         load = report;
-        heardAt = now;
+        receivedAt = now;
         sentSince = 0;
     }
 
-    /** A call was sent that the newest report can't count. */
+    /** Records a call that was sent after the latest report and is not counted in it. */
     public void onSent() {
         sentSince++;
     }
 
-    /** The newest report, however old. */
+    /** The latest report, regardless of its age. */
     public Optional<TargetLoad> newest() {
         return Optional.ofNullable(load);
     }
 
-    /** How much of the report still counts: 1 when just heard, 0 when the load is unknown. */
+    /** Weight of the report by its age: 1 when just received, 0 when the load is unknown. */
     public double weight(long now) {
         if (load == null) {
             return 0;
         }
-        double age = Math.max(0, now - heardAt);
-        return Math.max(0, 1 - age / UNKNOWN_AFTER_NANOS);
+        double age = Math.max(0, now - receivedAt);
+        return Math.max(0, 1 - age / MAX_AGE_NANOS);
     }
 
-    /** Time since the newest report, -1 when there is none. */
+    /** Age of the latest report, -1 when there is none. */
     public long ageNanos(long now) {
-        return load == null ? -1 : Math.max(0, now - heardAt);
+        return load == null ? -1 : Math.max(0, now - receivedAt);
     }
 
-    /** Requests at the target by the newest report and the calls sent since. */
+    /** Requests running or queued at the target by the latest report, plus the calls sent since. */
     public int busy() {
         return load == null ? sentSince : load.running() + load.queued() + sentSince;
     }
 
-    /** Requests that the target runs at once by the newest report, or what it announced when there is none. */
+    /** Concurrency limit of the target by the latest report, or the announced one when there is none; at least 1. */
     public int limit(int announced) {
-        int known = load == null ? announced : load.limit();
-        return Math.max(1, known);
+        int slots = load == null ? announced : load.limit();
+        return Math.max(1, slots);
     }
 
-    /** Slots that are free as far as known; 0 when the load is unknown. */
+    /** Estimated free slots; 0 when the load is unknown or the target is draining. */
     public int free(long now) {
         boolean unknown = weight(now) == 0 || load.draining();
         return unknown ? 0 : Math.max(0, load.limit() - busy());
     }
 
-    /** Whether the target said of late that it admits nothing more. */
+    /** Whether the target reported recently that it is draining. */
     public boolean isDraining(long now) {
         return weight(now) > 0 && load.draining();
     }
--- a/src/main/java/io/beryldock/load/package-info.java
+++ b/src/main/java/io/beryldock/load/package-info.java
@@ -1,2 +1,2 @@
-/** What nodes know of each other's load: reports of gates, how old they are and how far they are believed. */
+/** Load that targets report to their callers: the latest report, its age and the weight that it carries. */
 package io.beryldock.load;
--- a/src/test/java/io/beryldock/load/PauseDetectorTest.java
+++ b/src/test/java/io/beryldock/load/PauseDetectorTest.java
@@ -10,9 +10,9 @@
 
     private final PauseDetector pauses = new PauseDetector(0);
 
-    /** Guards against reports that waited in the buffers of a paused node and seem new when it goes on. */
+    /** Guards against reports that waited in the buffers of a paused node and look recent when it resumes. */
     @Test
-    void whatWasSentBeforeAGapIsOld() {
+    void callSentBeforePauseIsDetected() {
         pauses.onEvent(STEP);
         pauses.onEvent(10 * STEP);
         pauses.onEvent(11 * STEP);
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void steadyEventsAreNoPause() {
+    void regularEventsAreNoPause() {
         for (int i = 0; i < 10; i++) {
             pauses.onEvent(i * STEP);
         }
