--- a/src/main/java/io/beryldock/forwarding/Announcement.java
+++ b/src/main/java/io/beryldock/forwarding/Announcement.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 
 /**
- * What a target says of itself to its own node, again and again.
+ * The state that a target reports to its own node periodically.
  *
  * <p>Immutable. Example: {@code {"service":"lists","address":"127.0.0.1:9101","slots":50,"state":"READY"}}.
  */
@@ -25,7 +25,7 @@
         return Addresses.parse(address);
     }
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Written by hand: the C1 compiler of the nodes does not inline a record's generated equals, an invokedynamic call.
     @Override
     public boolean equals(Object other) {
         return other instanceof Announcement that
--- a/src/main/java/io/beryldock/forwarding/AttemptPolicy.java
+++ b/src/main/java/io/beryldock/forwarding/AttemptPolicy.java
@@ -4,7 +4,7 @@
 import io.beryldock.call.CallResult;
 import io.beryldock.retry.RetryQuestion;
 
-/** Whether a call that ended without success is tried again. Thread safe. */
+/** Decides whether a call that ended without success is retried. Thread safe. */
 @FunctionalInterface
 interface AttemptPolicy {
 
--- a/src/main/java/io/beryldock/forwarding/CallerAccess.java
+++ b/src/main/java/io/beryldock/forwarding/CallerAccess.java
@@ -12,14 +12,15 @@
 /**
  * Decides whether a caller may use a route, and for which organisation.
  *
- * <p>Guards against a key that was taken away and still opens routes at a node that could not hear of it: cut off,
- * turned away by the store, suspended or just started. A key counts only while the node knows that its configuration
- * was the newest within the time that operators allow. The check comes after the request, so every request that was
- * sent later than that time after the change meets a node that knows of it, or one that refuses. Thread safe.
+ * <p>Guards against a revoked key that still opens routes at a node that could not learn of the revocation: one that is
+ * partitioned, refused by the store, suspended or just started. A key is valid only while the node knows that its
+ * configuration was the newest within the time that operators allow. The check happens after the request has arrived,
+ * so a request that is sent later than that time after the revocation reaches a node that either knows of it or refuses
+ * the request. Thread safe.
  */
 public final class CallerAccess {
 
-    /** When to come back while this node does not know whether keys hold: it asks for it each second. */
+    /** Retry-After while this node can't tell whether keys are valid; it asks for the newest version each second. */
     private static final long UNCERTAIN_RETRY_MILLIS = 400;
 
     private final Supplier<Optional<Long>> knownAge;
@@ -31,26 +32,26 @@
     }
 
     /**
-     * Keys count while the configuration is known to be new.
+     * Creates a check that accepts keys while the configuration is known to be recent.
      *
-     * @param knownAge how long ago the configuration in force was surely the newest, in nanoseconds; empty when that
+     * @param knownAge how long ago the configuration in force was certainly the newest, in nanoseconds; empty when that
      *     is not known
-     * @param bound time after which a key that was taken away opens nothing anywhere; empty for no bound
+     * @param bound time after which a revoked key opens no route at any node; empty for no bound
      */
     public static CallerAccess create(Supplier<Optional<Long>> knownAge, Optional<Duration> bound) {
         return new CallerAccess(knownAge, bound.map(Duration::toNanos).orElse(Long.MAX_VALUE));
     }
 
-    /** Keys count whenever the configuration has them. */
+    /** Creates a check that accepts all keys of the configuration, whatever its age. */
     public static CallerAccess unbounded() {
         return create(() -> Optional.of(0L), Optional.empty());
     }
 
     /**
-     * What was decided. Immutable.
+     * The result of a check. Immutable.
      *
-     * @param refusal why the caller may not use the route, empty when it may
-     * @param organisation for which it does
+     * @param refusal why the caller may not use the route; empty when it may
+     * @param organisation the organisation for which the caller uses the route
      */
     public record Access(Optional<CallResult> refusal, Optional<Organisation> organisation) {
 
@@ -64,7 +65,7 @@
     }
 
     /**
-     * Judges the keys that a request names.
+     * Checks the keys that a request carries.
      *
      * @param open whether the route needs no key
      */
--- a/src/main/java/io/beryldock/forwarding/CancelScope.java
+++ b/src/main/java/io/beryldock/forwarding/CancelScope.java
@@ -4,10 +4,11 @@
 import java.util.List;
 
 /**
- * Cancellation of a request and of all beneath it.
+ * Cancellation of a request and of all calls beneath it.
  *
- * <p>Thread safe. Tasks run once, on the thread that cancels, or at once when already cancelled. A scope whose work has
- * ended is closed and keeps no task, so that a long parent does not collect those of its children.
+ * <p>Thread safe. Tasks run once, on the thread that cancels, or at once when the scope is already cancelled. A scope
+ * whose work has ended is closed and keeps no task, so that a long-running parent does not accumulate the tasks of its
+ * children.
  */
 public final class CancelScope {
 
@@ -20,14 +21,14 @@
         return new CancelScope();
     }
 
-    /** A scope that is cancelled with this one. */
+    /** Creates a scope that is cancelled with this one. */
     public CancelScope child() {
         CancelScope child = new CancelScope();
         onCancel(child::cancel);
         return child;
     }
 
-    /** Runs the task on cancellation. */
+    /** Registers a task that runs on cancellation. */
     public void onCancel(Runnable task) {
         synchronized (this) {
             if (!cancelled) {
@@ -55,7 +56,7 @@
         return cancelled;
     }
 
-    /** Forgets the tasks: the work has ended. */
+    /** Drops the tasks, because the work has ended. */
     public synchronized void close() {
         tasks.clear();
     }
--- a/src/main/java/io/beryldock/forwarding/ContextHeader.java
+++ b/src/main/java/io/beryldock/forwarding/ContextHeader.java
@@ -11,10 +11,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The header that a target copies to its inner calls: {@code Beryldock-Context}.
+ * The {@code Beryldock-Context} header, which a target copies to its inner calls.
  *
- * <p>Immutable. The node in the target's VM finds the running call by {@code call}; the rest serves only when that node
- * was restarted meanwhile. Example: {@code v=1;call=..-5;root=..-1;class=page;rank=3;ms=1800;depth=1;hash=17}.
+ * <p>Immutable. The node in the target's VM finds the running call by {@code call}; the other fields are used only when
+ * that node has restarted in the meantime. Example:
+ * {@code v=1;call=..-5;root=..-1;class=page;rank=3;ms=1800;depth=1;hash=17}.
  */
 public record ContextHeader(
         RequestId call, RequestId root, PriorityClass priority, long remainingMillis, int depth, int callerHash) {
@@ -27,14 +28,14 @@
             Splitter.on(';').trimResults().withKeyValueSeparator('=');
     private static final Joiner.MapJoiner JOINER = Joiner.on(';').withKeyValueSeparator('=');
 
-    /** The header for the inner calls of a call that its target runs. */
+    /** Returns the header for the inner calls of a call that its target runs. */
     public static ContextHeader of(RequestId call, CallContext context) {
         long millis = TimeUnit.NANOSECONDS.toMillis(context.remainingNanos());
         return new ContextHeader(
                 call, context.root(), context.priority(), millis, context.depth(), context.callerHash());
     }
 
-    /** Reads the text form; empty when it is malformed. */
+    /** Parses the text form; empty when it is malformed. */
     public static Optional<ContextHeader> parse(String text) {
         try {
             Map<String, String> parts = SPLITTER.split(text);
--- a/src/main/java/io/beryldock/forwarding/DecisionWriter.java
+++ b/src/main/java/io/beryldock/forwarding/DecisionWriter.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
 
-/** Logs how calls without an answer ended at one place, with what was decided on. Thread safe. */
+/** Logs how calls without an answer ended at one place, with the inputs of the decision. Thread safe. */
 final class DecisionWriter {
 
     private final String place;
@@ -21,14 +21,14 @@
         this.decisions = decisions;
     }
 
-    /** Nothing is logged of a call that was answered. */
+    /** Logs the end of a call at an entry; logs nothing for a call that was answered. */
     void ended(Call call, CallResult result) {
         result.reason()
                 .ifPresent(reason -> decisions.add(
                         () -> new DecisionLine(line(call, result, reason).buildOrThrow())));
     }
 
-    /** The same at a gate, whose level is among what was decided on. */
+    /** Logs the end of a call at a gate, whose level is one of the inputs of the decision. */
     void ended(Call call, CallResult result, IntSupplier level) {
         result.reason()
                 .ifPresent(reason -> decisions.add(() -> new DecisionLine(line(call, result, reason)
--- a/src/main/java/io/beryldock/forwarding/IncomingRequest.java
+++ b/src/main/java/io/beryldock/forwarding/IncomingRequest.java
@@ -7,18 +7,18 @@
 import java.util.Optional;
 
 /**
- * A request as a listener of the node took it. Immutable.
+ * A request as a listener of the node received it. Immutable.
  *
- * @param origin which listener took it
+ * @param origin the kind of listener that received the request
  * @param path path and query
- * @param headers end-to-end headers, without those of our own
+ * @param headers end-to-end headers, without Beryldock's own
  * @param context the value of {@code Beryldock-Context}, from a target only
  * @param key the value of {@code Beryldock-Ticket} or {@code Idempotency-Key}
- * @param identity what tells this caller from others: a hash of its credentials, or its address
- * @param host the host that the request names, empty when routes are not chosen by it
- * @param timeLimit how long its caller waits, if it says so
- * @param credentials the keys of organisations that the request names, each as it was sent; they go no further
- * @param parentTag the id of the run that may have made it as an inner call, where its own id names one
+ * @param identity distinguishes the caller from others: a hash of its credentials, or its address
+ * @param host the host that the request names; empty when routes are not chosen by host
+ * @param timeLimit how long the caller waits, if the request says so
+ * @param credentials the organisation keys that the request carries, each as it was sent; they are not forwarded
+ * @param parentTag the id of the run that may have made the request as an inner call, where the request's id names one
  */
 public record IncomingRequest(
         Origin origin,
@@ -34,7 +34,7 @@
         ImmutableList<String> credentials,
         Optional<String> parentTag) {
 
-    /** A request whose caller names no host and no time. */
+    /** Creates a request without a host, a time limit and credentials. */
     public IncomingRequest(
             Origin origin,
             String method,
@@ -64,7 +64,7 @@
         CALLER,
         /** The target in the node's own VM. */
         TARGET,
-        /** A listener that callers and the target use alike. */
+        /** A listener that both callers and the target use. */
         EITHER
     }
 }
--- a/src/main/java/io/beryldock/forwarding/JoiningRequestHandler.java
+++ b/src/main/java/io/beryldock/forwarding/JoiningRequestHandler.java
@@ -9,12 +9,12 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Lets a caller's repeated request join the one that it has in flight at this node.
+ * Joins a caller's repeated request to an equal request that the caller has in flight at this node.
  *
- * <p>Guards against callers that send a slow page's request again and again: each copy would add load to a chain that
- * is slow already. Only safe requests without a body join, only those that are equal in every header, and only those of
- * one caller, so that nobody gets another's answer. The shared run is cancelled when all who wait for it have gone.
- * Thread safe.
+ * <p>Guards against callers that resend the request for a slow page: each copy would add load to a call chain that is
+ * already slow. Only safe requests without a body join, and only requests of one caller that are equal in every header,
+ * so that no caller gets another caller's answer. The shared run is cancelled when all requests that wait for it are
+ * cancelled. Thread safe.
  */
 public final class JoiningRequestHandler implements RequestHandler {
 
@@ -66,15 +66,15 @@
         }
     }
 
-    /** Requests that joined another one since the start. */
+    /** Returns the number of requests that joined another one since the start. */
     public long joined() {
         return joined.sum();
     }
 
-    /** What makes two requests equal. */
+    /** The properties in which requests must be equal to join. */
     private record Key(String identity, String method, String path, Headers headers) {}
 
-    /** One run and those who wait for it. Thread safe. */
+    /** One run and the number of requests that wait for it. Thread safe. */
     private static final class SharedRun {
         private final CompletableFuture<RequestOutcome> result = new CompletableFuture<>();
         private final CancelScope scope = CancelScope.create();
@@ -82,7 +82,7 @@
         @GuardedBy("this")
         private int waiting = 1;
 
-        /** False when everybody has left: the run is being cancelled. */
+        /** Returns false when no request waits any more: the run is being cancelled. */
         synchronized boolean join() {
             if (waiting == 0) {
                 return false;
--- a/src/main/java/io/beryldock/forwarding/LifeSign.java
+++ b/src/main/java/io/beryldock/forwarding/LifeSign.java
@@ -1,11 +1,11 @@
 package io.beryldock.forwarding;
 
-/** What is known of a life of the target. */
+/** What this node knows of the state of a process of the target. */
 public enum LifeSign {
-    /** The process that ran at the start of the exchange runs on. */
+    /** The process that ran at the start of the exchange still runs. */
     GOES_ON,
     /** That process has ended, whatever listens at its address now. */
     ENDED,
-    /** Something listens at the address, and nothing tells whether it is the same process. */
+    /** A process listens at the address, and it is not known whether it is the same one. */
     UNKNOWN
 }
--- a/src/main/java/io/beryldock/forwarding/PeerCallClient.java
+++ b/src/main/java/io/beryldock/forwarding/PeerCallClient.java
@@ -26,7 +26,7 @@
         return new PeerCallClient(transport);
     }
 
-    /** Sends the call once; cancelling the scope cancels it there. The future never fails. */
+    /** Sends the call once; cancelling the scope cancels it at the other node. The future never fails. */
     CompletableFuture<CallResult> send(NodeDescriptor node, Call call, CancelScope scope) {
         Duration timeout = Duration.ofNanos(call.context().remainingNanos());
         ByteString body = CallCodec.encode(call).toByteString();
--- a/src/main/java/io/beryldock/forwarding/TargetClient.java
+++ b/src/main/java/io/beryldock/forwarding/TargetClient.java
@@ -7,9 +7,9 @@
 @FunctionalInterface
 public interface TargetClient {
 
-    /** How long after a call's time its target may still answer before the exchange is given up. */
+    /** How long after a call's deadline its target may still answer before the exchange is given up. */
     Duration LATE = Duration.ofSeconds(1);
 
-    /** Sends the call once, never again by itself. */
+    /** Sends the call once, without retries. */
     TargetExchange send(Call call);
 }
--- a/src/main/java/io/beryldock/forwarding/TargetExchange.java
+++ b/src/main/java/io/beryldock/forwarding/TargetExchange.java
@@ -3,15 +3,15 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A call on its way to the target. Immutable; thread safe.
+ * A call sent to the target, and its pending reply. Immutable; thread safe.
  *
- * @param reply how the exchange ends; never fails
- * @param abort tells the target that nobody waits any more; the reply is then {@link TargetReply.Kind#GIVEN_UP}.
- *     Without effect towards a target that can't be told, whose reply comes when it comes
+ * @param reply completes with the outcome of the exchange; never fails
+ * @param abort tells the target that no one waits for the answer; the reply is then {@link TargetReply.Kind#GIVEN_UP}.
+ *     Without effect on a target that can't be told: its reply completes when the target ends the exchange
  */
 public record TargetExchange(CompletableFuture<TargetReply> reply, Runnable abort) {
 
-    /** An exchange that can't be given up. */
+    /** Returns an exchange that can't be aborted. */
     public static TargetExchange unabortable(CompletableFuture<TargetReply> reply) {
         return new TargetExchange(reply, () -> {});
     }
--- a/src/main/java/io/beryldock/forwarding/TargetLife.java
+++ b/src/main/java/io/beryldock/forwarding/TargetLife.java
@@ -3,18 +3,18 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One life of the target, from the start of its process to its end, as this node can tell it from the next.
+ * One process of the target, from its start to its end, as far as this node can tell it from the next process.
  *
- * <p>Thread safe. Two objects that are equal stand for the same life.
+ * <p>Thread safe. Equal objects stand for the same process.
  */
 @FunctionalInterface
 public interface TargetLife {
 
     /**
-     * Looks whether the life goes on, after an exchange within it was lost.
+     * Checks whether the process still runs, after an exchange with it was lost.
      *
      * @param lostAtNanos when the first exchange was lost, by the node's ticker
-     * @return the sign; whoever asks must bound the wait, as a target may neither accept nor refuse a connection
+     * @return the state; the caller must bound the wait, because a target may neither accept nor refuse a connection
      */
     CompletableFuture<LifeSign> look(long lostAtNanos);
 }
--- a/src/main/java/io/beryldock/forwarding/TargetLives.java
+++ b/src/main/java/io/beryldock/forwarding/TargetLives.java
@@ -2,10 +2,10 @@
 
 import java.net.InetSocketAddress;
 
-/** The lives of the target in this node's VM. Thread safe. */
+/** The processes of the target in this node's VM, one after the other. Thread safe. */
 @FunctionalInterface
 public interface TargetLives {
 
-    /** The life that the target at the address lives now; it must be asked for before an exchange begins. */
+    /** Returns the process of the target that runs at the address now; must be called before an exchange begins. */
     TargetLife current(InetSocketAddress target);
 }
--- a/src/main/java/io/beryldock/forwarding/TargetReply.java
+++ b/src/main/java/io/beryldock/forwarding/TargetReply.java
@@ -4,22 +4,22 @@
 import java.util.Optional;
 
 /**
- * How an exchange with the target ended. Immutable.
+ * The outcome of an exchange with the target. Immutable.
  *
  * @param answer the complete answer, for {@link Kind#ANSWERED} only
  */
 public record TargetReply(Kind kind, Optional<Answer> answer, String detail) {
 
-    /** The ways an exchange ends. */
+    /** The ways in which an exchange ends. */
     public enum Kind {
         ANSWERED,
-        /** The target's own explicit marker: it refused the request before running it. */
+        /** The target refused the request before running it, and said so with an explicit marker. */
         REFUSED,
-        /** Not one byte of the request reached the target. */
+        /** No byte of the request reached the target. */
         NOT_SENT,
-        /** The target's end of the connection was lost; the request may have run. */
+        /** The connection was lost at the target's end; the request may have run. */
         LOST,
-        /** This node closed the connection, as nobody waits or the time is over; the request may have run. */
+        /** This node closed the connection because no one waits or the time is over; the request may have run. */
         GIVEN_UP
     }
 
--- a/src/main/java/io/beryldock/quarantine/CrashEvidence.java
+++ b/src/main/java/io/beryldock/quarantine/CrashEvidence.java
@@ -1,15 +1,16 @@
 package io.beryldock.quarantine;
 
 /**
- * One request in flight at one crash, as this node knows it.
+ * What this node knows of one request that was in flight at one crash.
  *
- * <p>Immutable. {@link #merge} is commutative, associative and idempotent, so that nodes that heard the same news in
- * any order agree: what is said once stays said, and of two times the shorter holds, as it only grows on the way.
+ * <p>Immutable. {@link #merge} is commutative, associative and idempotent, so that nodes that received the same deltas
+ * in any order agree: a flag once set stays set, and of two expiry times the earlier holds, because transit delay only
+ * makes an expiry time later.
  *
- * @param ranAlone the run had been started as a suspect, so that this crash convicts the request
- * @param confirmed the crash is certain; false while a lost connection may be the network's fault
- * @param cleared a later run completed, or the crash turned out to be none; kept so that it outlives old news
- * @param expiresNanos when the entry is forgotten, by this node's ticker
+ * @param ranAlone the run had been started as a suspect's, so this crash convicts the request
+ * @param confirmed the crash is certain; false while a lost connection may be a fault of the network
+ * @param cleared a later run completed, or there was no crash; such an entry is kept to override older deltas
+ * @param expiresNanos when the entry expires, by this node's ticker
  */
 record CrashEvidence(boolean ranAlone, boolean confirmed, boolean cleared, long expiresNanos) {
 
@@ -21,7 +22,7 @@
                 mergedExpiry(other));
     }
 
-    /** A confirmed crash lasts longer than the lost connection that first told of it. */
+    /** A confirmed crash lasts longer than the lost connection by which the crash was first suspected. */
     private long mergedExpiry(CrashEvidence other) {
         if (confirmed != other.confirmed) {
             return confirmed ? expiresNanos : other.expiresNanos;
--- a/src/main/java/io/beryldock/quarantine/Fingerprint.java
+++ b/src/main/java/io/beryldock/quarantine/Fingerprint.java
@@ -9,10 +9,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What a request is, whoever sends it: 128 bits over service, method, path with query, and body.
+ * The identity of a request, whoever sends it: a 128-bit hash over service, method, path with query, and body.
  *
- * <p>Equal at every node for equal requests; headers don't count. Computed when first needed, which for almost all
- * requests is never, so making one costs nothing. Immutable in what it shows, thread safe.
+ * <p>Equal at every node for equal requests; headers are not part of it. The hash is computed when it is first needed,
+ * which for almost all requests is never, so creating a fingerprint is cheap. Observably immutable, thread safe.
  */
 public final class Fingerprint {
 
@@ -37,7 +37,7 @@
         return new Fingerprint(call.service(), null, call, null);
     }
 
-    /** The fingerprint of a request that another node told of. */
+    /** Creates the fingerprint of a request that another node reported. */
     static Fingerprint of(long high, long low, ServiceName service, String label) {
         byte[] bytes = new byte[2 * Long.BYTES];
         System.arraycopy(Longs.toByteArray(high), 0, bytes, 0, Long.BYTES);
@@ -45,7 +45,7 @@
         return new Fingerprint(service, label, null, HashCode.fromBytes(bytes));
     }
 
-    /** The same fingerprint without its request, to be kept for long. */
+    /** Returns the same fingerprint without a reference to its request, for long retention. */
     Fingerprint detached() {
         return call == null ? this : new Fingerprint(service, label(), null, hash());
     }
@@ -54,7 +54,7 @@
         return service;
     }
 
-    /** The request in short, for operators: method and path, cut at {@value #MAX_LABEL} characters. */
+    /** A short form of the request for operators: method and path, truncated to {@value #MAX_LABEL} characters. */
     public String label() {
         if (label != null) {
             return label;
@@ -103,7 +103,7 @@
         return hash().hashCode();
     }
 
-    /** 32 hexadecimal digits, as operators give it. */
+    /** Returns 32 hexadecimal digits, the form that operators enter. */
     @Override
     public String toString() {
         return hash().toString();
--- a/src/main/java/io/beryldock/quarantine/QuarantinedRequest.java
+++ b/src/main/java/io/beryldock/quarantine/QuarantinedRequest.java
@@ -5,7 +5,7 @@
 /**
  * A request that does not run freely, for operators. Immutable.
  *
- * @param crashes crashes that it was in flight at
- * @param remaining time until it is forgotten
+ * @param crashes number of crashes at which the request was in flight
+ * @param remaining time until the last of its entries expires
  */
 public record QuarantinedRequest(Fingerprint fingerprint, Verdict verdict, int crashes, Duration remaining) {}
--- a/src/main/java/io/beryldock/quarantine/Verdict.java
+++ b/src/main/java/io/beryldock/quarantine/Verdict.java
@@ -3,8 +3,8 @@
 /** Whether a request may run. */
 public enum Verdict {
     FREE,
-    /** It was in flight when a target crashed: it runs while no other suspect does at the same target. */
+    /** The request was in flight when a target crashed: it runs while no other suspect runs at the same target. */
     ALONE,
-    /** It ran as a suspect and its target crashed again: refused with {@code Reason.QUARANTINED}. */
+    /** The request ran as a suspect when a target crashed: it is refused with {@code Reason.QUARANTINED}. */
     REFUSED
 }
--- a/src/main/java/io/beryldock/quarantine/package-info.java
+++ b/src/main/java/io/beryldock/quarantine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests that crash targets: what was in flight at a crash is suspect and runs alone, what crashes a second target is
- * refused for a time at every node. Free of HTTP, Netty and Guice.
+ * Quarantine of requests that crash targets: a request in flight at a crash becomes a suspect and runs alone; a request
+ * that crashes a second target is refused at every node for a time. Free of HTTP, Netty and Guice.
  */
 package io.beryldock.quarantine;
--- a/src/test/java/io/beryldock/forwarding/TargetFixtures.java
+++ b/src/test/java/io/beryldock/forwarding/TargetFixtures.java
@@ -23,7 +23,7 @@
 import java.util.Optional;
 import java.util.Random;
 
-/** A node with a target of lists, and reads of it. Stateless but for the ids given out; thread safe. */
+/** A node with a target of the service "lists", and reads of it. Stateless except for issued ids; thread safe. */
 final class TargetFixtures {
 
     static final InetSocketAddress ADDRESS = InetSocketAddress.createUnresolved("127.0.0.1", 1);
--- a/src/test/java/io/beryldock/quarantine/QuarantineBenchmark.java
+++ b/src/test/java/io/beryldock/quarantine/QuarantineBenchmark.java
@@ -28,7 +28,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Time of the check of one call with a body of 1 KB, against the number of suspects. */
+/** Measures the time of the check of one call with a body of 1 KB, for several numbers of suspects. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
