--- a/src/main/java/io/beryldock/forwarding/AttemptLoop.java
+++ b/src/main/java/io/beryldock/forwarding/AttemptLoop.java
@@ -27,9 +27,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The attempts of one call, one after the other.
+ * Runs the attempts of one call, one after the other.
  *
- * <p>Only one step runs at a time, each started by the end of the one before, so the fields need no lock. Invariant:
+ * <p>Only one step runs at a time, and the end of each step starts the next, so the fields need no lock. Invariant:
  * once an attempt may have run, the result is never NOT_RUN.
  */
 final class AttemptLoop {
@@ -115,19 +115,19 @@
         long sent = now();
         CallForwarder.attempt(ports, target, attempt, scope).whenComplete((ended, failure) -> {
             CallResult known = failure == null ? ended : CallResult.unknown(Reason.INTERNAL, failure.toString());
-            orUnknown(() -> {
-                noteLoss(target, known, asSuspect);
+            runOrCompleteUnknown(() -> {
+                recordLoss(target, known, asSuspect);
                 onEnd(target, grant, known, now() - sent);
             });
         });
     }
 
-    /** A step that fails would leave its caller without any answer. */
-    private void orUnknown(Runnable step) {
+    /** Runs a step; completes the call as UNKNOWN if the step fails, so that its caller gets a result. */
+    private void runOrCompleteUnknown(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
-            log.atSevere().withCause(e).log("a step of call %s to %s failed", call.id(), call.service());
+            log.atSevere().withCause(e).log("attempt step of call %s to service %s failed", call.id(), call.service());
             result.complete(CallResult.unknown(Reason.INTERNAL, e.toString()));
         }
     }
@@ -142,7 +142,7 @@
 
     private void onEnd(TargetRecord target, RetryGrant grant, CallResult ended, long latencyNanos) {
         ports.chooser().onResult(target, ended, latencyNanos, CallKind.of(call));
-        teachDoor(ended);
+        reportLevels(ended);
         settle(grant, ended);
         spentNanos += ended.spentNanos();
         cost = cost.plus(ended.cost());
@@ -159,36 +159,39 @@
         }
     }
 
-    private void teachDoor(CallResult ended) {
+    private void reportLevels(CallResult ended) {
         if (call.caller().equals(Call.OUTSIDE)) {
-            ports.door().observe(call.service(), call.context().priority().rank(), ended.levels());
+            ports.shedder().observe(call.service(), call.context().priority().rank(), ended.levels());
         }
     }
 
-    /** What ran nowhere has spent nothing; without a reply nobody can say what was spent, so the part is lost. */
+    /**
+     * Settles the retries granted to an attempt. An attempt that did not run spent none; without a reply the spent part
+     * is unknown, so the whole grant counts as lost.
+     */
     private static void settle(RetryGrant grant, CallResult ended) {
         if (ended.outcome() == Outcome.NOT_RUN) {
             grant.giveBack(grant.amount());
-        } else if (ended.outcome() == Outcome.ANSWERED || replied(ended)) {
+        } else if (ended.outcome() == Outcome.ANSWERED || nodeReplied(ended)) {
             grant.giveBack(ended.unspentRetries());
         } else {
             grant.lose();
         }
     }
 
-    /** Whether the target's node itself told the end: its replies always hold its own level. */
-    private static boolean replied(CallResult ended) {
+    /** Whether the target's node itself reported the end of the attempt: its replies always contain its own level. */
+    private static boolean nodeReplied(CallResult ended) {
         return !ended.levels().isEmpty();
     }
 
-    private void noteLoss(TargetRecord target, CallResult ended, boolean sentAsSuspect) {
+    private void recordLoss(TargetRecord target, CallResult ended, boolean sentAsSuspect) {
         if (ended.outcome() == Outcome.ANSWERED) {
             ports.quarantine().onNodeAnswered(target.node());
         }
         if (ended.reason().filter(Reason.TARGET_CRASHED::equals).isPresent()) {
-            ports.quarantine().onTargetCrashTold(fingerprint, target.node(), sentAsSuspect);
+            ports.quarantine().onTargetCrashReported(fingerprint, target.node(), sentAsSuspect);
         }
-        if (ended.reason().filter(Reason.CONNECTION_LOST::equals).isPresent() && !replied(ended)) {
+        if (ended.reason().filter(Reason.CONNECTION_LOST::equals).isPresent() && !nodeReplied(ended)) {
             ports.quarantine().onNodeLost(fingerprint, target.node(), sentAsSuspect);
             ports.losses().accept(target.node());
             ports.chooser().onNodeLost(target.node().id());
@@ -200,7 +203,7 @@
             return baselineRetry(ended) ? RetryDecision.RETRY_ELSEWHERE : RetryDecision.STOP_USELESS;
         }
         if (ended.succeeded()) {
-            // Most calls end so: the question would look at all targets of the service for nothing.
+            // Most calls end here; building the question would look at all targets of the service needlessly.
             return RetryDecision.STOP_ANSWERED;
         }
         RetryQuestion question = new RetryQuestion(
@@ -220,7 +223,7 @@
 
     private void retry(RetryDecision decision, TargetRecord target, CallResult ended) {
         boolean resend = decision == RetryDecision.RESEND;
-        nextTarget = resend ? Optional.of(target) : handOn(ended);
+        nextTarget = resend ? Optional.of(target) : freeTarget(ended);
         if (resend || nextTarget.isEmpty()) {
             retryLater();
         } else {
@@ -228,8 +231,8 @@
         }
     }
 
-    /** Where a call that a full target refused can run at once; waiting would only let others take the slots. */
-    private Optional<TargetRecord> handOn(CallResult ended) {
+    /** Returns a free target for a call that a full target refused; a wait would let other calls take the slots. */
+    private Optional<TargetRecord> freeTarget(CallResult ended) {
         boolean full = ended.reason().filter(RetryPolicy::isFullRefusal).isPresent();
         return full ? ports.chooser().chooseFree(call.service(), tried, Set.of()) : Optional.empty();
     }
@@ -242,7 +245,7 @@
         }
     }
 
-    /** What users have today: three tries at each layer, whatever the others do. */
+    /** The retry rule that is usual without Beryldock: three tries at each layer, regardless of the other layers. */
     private boolean baselineRetry(CallResult ended) {
         boolean safe = ended.outcome() == Outcome.NOT_RUN || call.idempotent();
         return !ended.succeeded() && safe && tries < BASELINE_TRIES;
@@ -260,22 +263,22 @@
             tried.clear();
         }
         long delay = ports.backoff().delayNanos(tries);
-        ports.timers().after(Duration.ofNanos(delay), () -> orUnknown(this::next));
+        ports.timers().after(Duration.ofNanos(delay), () -> runOrCompleteUnknown(this::next));
     }
 
     /**
-     * Tells the last answer of a target, if there was one, in place of a later attempt without answer; else UNKNOWN in
-     * place of NOT_RUN when an earlier attempt may have run.
+     * Completes the call. If the last attempt has no answer, the last answer of an earlier attempt takes its place. If
+     * there is none, NOT_RUN is replaced by UNKNOWN when an earlier attempt may have run.
      */
     private void finish(CallResult lastResult) {
         CallResult ended = lastResult.answer().isEmpty() ? lastAnswer.orElse(lastResult) : lastResult;
-        boolean tell = mayHaveRun && ended.outcome() == Outcome.NOT_RUN;
-        CallResult told = tell
+        boolean replaced = mayHaveRun && ended.outcome() == Outcome.NOT_RUN;
+        CallResult finalResult = replaced
                 ? CallResult.unknown(ended.reason().orElse(Reason.INTERNAL), "an earlier attempt may have run")
                         .withRetryAfterMillis(ended.retryAfterMillis())
                         .withLevels(ended.levels())
                 : ended;
-        result.complete(told.withSpentNanos(spentNanos).withCost(cost));
+        result.complete(finalResult.withSpentNanos(spentNanos).withCost(cost));
     }
 
     private long remainingNanos() {
--- a/src/main/java/io/beryldock/forwarding/CallForwarder.java
+++ b/src/main/java/io/beryldock/forwarding/CallForwarder.java
@@ -22,9 +22,11 @@
 import java.util.function.Supplier;
 
 /**
- * Brings a call to a target of its service, in as many attempts as its allowance, budget and time permit.
+ * Forwards a call to a target of its service, in as many attempts as its retry allowance, the retry budget and its
+ * deadline permit.
  *
- * <p>Thread safe. Each attempt has an id of its own and goes to a target that was not tried before.
+ * <p>Thread safe. Each attempt has an id of its own. Except for resends and under the baseline policy, each attempt
+ * goes to a target that was not tried before.
  */
 public final class CallForwarder {
 
@@ -34,7 +36,7 @@
         this.ports = ports;
     }
 
-    /** What the forwarder works with; {@code losses} hears of nodes whose connection was lost with a call in flight. */
+    /** Dependencies of the forwarder; {@code losses} accepts nodes whose connection was lost with a call in flight. */
     public record Ports(
             NodeId self,
             Policy policy,
@@ -42,7 +44,7 @@
             TargetChooser chooser,
             TargetExecutor executor,
             PeerCallClient peers,
-            DoorShedder door,
+            DoorShedder shedder,
             RetryGate retries,
             RetryBudgets budgets,
             RetryTally retryTally,
@@ -58,7 +60,7 @@
     }
 
     /**
-     * Forwards the call; retries and the parts handed on are taken from the account.
+     * Forwards the call; its retries and the grants to its attempts are taken from the account.
      *
      * <p>The future never fails. NOT_RUN is the result only when no attempt can have run.
      */
@@ -68,7 +70,7 @@
         return loop.result();
     }
 
-    /** One attempt at the target, by way of its node. */
+    /** Makes one attempt at the target, through the target's node. */
     static CompletableFuture<CallResult> attempt(Ports ports, TargetRecord target, Call call, CancelScope scope) {
         if (target.node().id().equals(ports.self())) {
             return ports.executor().execute(call, scope);
--- a/src/main/java/io/beryldock/forwarding/EntryService.java
+++ b/src/main/java/io/beryldock/forwarding/EntryService.java
@@ -32,32 +32,36 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Takes requests from callers and inner calls from the target: finds the route, gives the context, sheds at the door.
+ * Handles requests from callers and inner calls from the target: finds the route, sets the call context and sheds load
+ * at the entry.
  *
- * <p>Thread safe. A caller's request starts a tree with its own allowance of retries; an inner call takes from that of
- * the call within whose run it was made.
+ * <p>Thread safe. A caller's request starts a call tree with its own retry allowance; an inner call draws on the
+ * allowance of the call whose run made it.
  */
 public final class EntryService implements RequestHandler {
 
     private static final PriorityClass ORPHAN_CLASS = PriorityClass.of("no-context", PriorityClass.LOWEST_RANK);
 
-    /** What was run above an inner call whose parent is not known: enough to go before calls that begin. */
-    private static final long UNKNOWN_SUNK_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+    /**
+     * Target time assumed to be spent above an inner call of unknown parent: enough for the call to go before calls
+     * that begin a tree.
+     */
+    private static final long UNKNOWN_PARENT_SUNK_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
     private final Ports ports;
-    private final ReturnDetector returns;
+    private final ClientRetryDetector clientRetries;
     private volatile boolean refusing;
 
     private EntryService(Ports ports) {
         this.ports = ports;
-        this.returns = new ReturnDetector(ports.ticker());
+        this.clientRetries = new ClientRetryDetector(ports.ticker());
     }
 
     /**
-     * What the service works with.
+     * Dependencies of the service.
      *
      * @param epoch numbers the periods in which a caller's hash stays the same
-     * @param random a thread safe generator
+     * @param random a thread-safe generator
      */
     public record Ports(
             Policy policy,
@@ -81,7 +85,7 @@
         return new EntryService(ports);
     }
 
-    /** From now on requests of callers are refused: the node is about to stop. */
+    /** Refuses callers' requests from now on, because the node is about to stop. */
     public void refuseNew() {
         refusing = true;
         ports.admission().stop();
@@ -119,7 +123,7 @@
                 : Optional.empty();
     }
 
-    /** NOT_RUN speaks of the key, which may have run under an earlier request, so a keyed one is UNKNOWN here. */
+    /** A keyed request ends UNKNOWN: NOT_RUN would apply to its key, under which an earlier request may have run. */
     private static CallResult stopping(IncomingRequest request) {
         String detail = "this node is stopping; send the request to another one";
         return request.key().isPresent()
@@ -134,15 +138,15 @@
             Optional<Organisation> organisation,
             CancelScope scope) {
         Configuration configuration = ports.configuration().get();
-        long elapsed = returns.elapsedNanos(route, request.timeLimit());
-        int hash = placeOf(request, elapsed > 0);
+        long elapsed = clientRetries.elapsedNanos(route, request.timeLimit());
+        int hash = callerHash(request, elapsed > 0);
         PriorityClass priority = configuration.priorityOf(route, organisation);
         int retries = configuration.budgetOf(route).retries();
         long remaining = allowedNanos(request, route);
         CallContext context = new CallContext(id, id, priority, remaining, retries, 0, hash, 0, false);
         Call call =
                 call(request, route, id, Call.OUTSIDE, context).forOrganisation(organisation.map(Organisation::name));
-        ports.tally().asked(priority);
+        ports.tally().onStart(priority);
         RetryAccount account = ports.ledger().open(id, retries);
         long objective = objectiveNanos(route, remaining, elapsed);
         RootAdmission.Root root = RootAdmission.Root.of(
@@ -154,23 +158,23 @@
                 ports.ticker().nanos());
         return admitAndDispatch(request, root, account, scope).thenApply(result -> {
             int unspent = account.close();
-            ports.tally().ended(priority, result, retries - unspent);
+            ports.tally().onEnd(priority, result, retries - unspent);
             ports.journal().ended(call, result);
             return new RequestOutcome(id, result);
         });
     }
 
-    private int placeOf(IncomingRequest request, boolean returned) {
+    private int callerHash(IncomingRequest request, boolean returned) {
         int hash = CallerHash.of(request.identity(), ports.epoch().getAsLong());
         return returned ? CallerHash.returned(hash) : hash;
     }
 
-    /** Time left of the objective; 0 or less for a caller who is past it and still wants an answer. */
+    /** Returns the time left of the objective; 0 or less for a caller that is past it and still wants an answer. */
     private static long objectiveNanos(Route route, long remainingNanos, long elapsedNanos) {
         return Math.min(route.objective().toNanos() - elapsedNanos, remainingNanos);
     }
 
-    /** A keyed request meets its key before the door: one that ran already must get its answer, not a refusal. */
+    /** Does not shed a keyed request before its key is looked up: one that has already run must get its answer. */
     private CompletableFuture<CallResult> admitAndDispatch(
             IncomingRequest request, RootAdmission.Root root, RetryAccount account, CancelScope scope) {
         boolean keyed = isKeyed(root.call());
@@ -187,7 +191,7 @@
                 : start.get();
     }
 
-    /** Only what runs counts: a request that is turned away beneath gives its part of the quota back. */
+    /** Counts only requests that run: a request that is refused further down returns its share of the quota. */
     private CompletableFuture<CallResult> startWithinQuota(
             Organisation organisation, Supplier<CompletableFuture<CallResult>> start) {
         return ports.quotas().admit(organisation).thenCompose(decision -> {
@@ -257,14 +261,16 @@
     }
 
     /**
-     * An inner call that is known for one, with the run that makes it where that can be told.
+     * Handles an inner call without a context header, with its parent run where that could be determined.
      *
-     * <p>It has the rank and the caller's hash of its parent, so that a gate beneath knows which requests of callers
-     * its demand comes from. Without that all of this demand seems to come from one caller of one rank, the gate's
-     * level sheds whole ranks at the doors in place of a part, and what it measures never brings the level back.
+     * <p>The call takes the rank and the caller hash of its parent, so that a gate beneath can attribute its demand to
+     * callers' requests. Otherwise all of this demand appears to come from one caller of one rank: the gate's level
+     * sheds whole ranks at the entries instead of a part of a rank, and the gate's measurements never restore the
+     * level.
      *
-     * <p>It does not meet the door: turning it away would waste what was run above it. The parent's scope is not taken
-     * over: the parent is told by its time only, and the target ends the calls of a run that was given up.
+     * <p>The call is not shed at the entry, because a refusal would waste the target time spent above it. It does not
+     * join the parent's cancel scope, because the parent may be inferred from the time left only, and the target itself
+     * ends the inner calls of a run that was given up.
      */
     private CompletableFuture<RequestOutcome> handleWithoutContext(
             IncomingRequest request, Route route, RequestId id, InnerCaller caller, CancelScope scope) {
@@ -282,13 +288,13 @@
         });
     }
 
-    /** The hash is drawn, so that such calls spread over the callers of their rank as their parents do. */
+    /** Draws the caller hash at random, so that such calls spread over the callers of their rank like their parents. */
     private CallContext contextOfUnknownParent(RequestId id, PriorityClass priority, long allowedNanos, int retries) {
         int hash = ports.random().nextInt();
-        return new CallContext(id, id, priority, allowedNanos, retries, 1, hash, UNKNOWN_SUNK_NANOS, false);
+        return new CallContext(id, id, priority, allowedNanos, retries, 1, hash, UNKNOWN_PARENT_SUNK_NANOS, false);
     }
 
-    /** An inner call whose parent this node does not know, since it was restarted or the header was left out. */
+    /** Handles an inner call whose parent this node does not know: the node restarted or the header is missing. */
     private CompletableFuture<RequestOutcome> handleOrphan(
             IncomingRequest request, Route route, RequestId id, Optional<ContextHeader> header, CancelScope scope) {
         long own = allowedNanos(request, route);
@@ -309,7 +315,7 @@
                 .thenApply(result -> new RequestOutcome(context.root(), result));
     }
 
-    /** Dispatches a call that takes from nobody's retries. */
+    /** Dispatches a call with a retry account of its own instead of its parent's. */
     private CompletableFuture<CallResult> dispatchOnOwnAccount(
             IncomingRequest request, Call call, int retries, CancelScope scope) {
         RetryAccount account = ports.ledger().open(call.id(), retries);
--- a/src/main/java/io/beryldock/forwarding/DoorCheck.java
+++ b/src/main/java/io/beryldock/forwarding/EntrySheddingCheck.java
@@ -9,22 +9,23 @@
 import io.beryldock.settings.NodeSettings.Policy;
 import java.util.Optional;
 
-/** What the door says of a root request: a refusal, or nothing when it is let in. Immutable. */
-record DoorCheck(Optional<CallResult> refusal) {
+/** The decision of load shedding at the entry on a root request: a refusal, or empty when admitted. Immutable. */
+record EntrySheddingCheck(Optional<CallResult> refusal) {
 
-    static DoorCheck of(Policy policy, DoorShedder door, Call call) {
+    static EntrySheddingCheck of(Policy policy, DoorShedder shedder, Call call) {
         if (policy == Policy.NONE) {
-            return new DoorCheck(Optional.empty());
+            return new EntrySheddingCheck(Optional.empty());
         }
         CallContext context = call.context();
-        DoorDecision decision = door.decide(call.service(), context.priority().rank(), context.callerHash());
+        DoorDecision decision =
+                shedder.decide(call.service(), context.priority().rank(), context.callerHash());
         if (decision.admitted()) {
-            return new DoorCheck(Optional.empty());
+            return new EntrySheddingCheck(Optional.empty());
         }
         CallResult shed = CallResult.notRun(
                         Reason.SHED_AT_DOOR, "class " + context.priority().name())
                 .withRetryAfterMillis(decision.retryAfterMillis())
                 .withUnspentRetries(context.retryAllowance());
-        return new DoorCheck(Optional.of(shed));
+        return new EntrySheddingCheck(Optional.of(shed));
     }
 }
--- a/src/main/java/io/beryldock/forwarding/Execution.java
+++ b/src/main/java/io/beryldock/forwarding/Execution.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * A call while the target of this node runs it: the parent of the target's inner calls.
+ * A call that this node's target is running: the parent of the target's inner calls.
  *
- * <p>Thread safe. Holds the account of retries handed to the call, the scope that cancels its inner calls and the
- * target time that those have used.
+ * <p>Thread safe. Holds the retry account of the call, the scope that cancels its inner calls and the target time that
+ * the inner calls have used.
  */
 final class Execution {
 
@@ -23,7 +23,7 @@
     private final long startNanos;
     private final long deadlineNanos;
     private final AtomicLong innerSpentNanos = new AtomicLong();
-    private final LevelReport beneath = LevelReport.create();
+    private final LevelReport innerLevels = LevelReport.create();
     private final AtomicReference<TreeCost> innerCost = new AtomicReference<>(TreeCost.none());
 
     Execution(Call call, RetryAccount account, CancelScope scope, long startNanos, long deadlineNanos) {
@@ -46,34 +46,34 @@
         return scope;
     }
 
-    /** Time left for all inner calls; compare with the node's ticker. */
+    /** Returns the time left for all inner calls at a time of the node's ticker; never negative. */
     long remainingNanos(long now) {
         return Math.max(0, deadlineNanos - now);
     }
 
-    /** An inner call of this run ended. */
+    /** Records the end of an inner call of this run. */
     void onInnerEnd(ServiceName called, CallResult result) {
         innerSpentNanos.addAndGet(result.spentNanos());
-        beneath.add(called, result.levels());
+        innerLevels.add(called, result.levels());
         innerCost.accumulateAndGet(result.cost(), TreeCost::plus);
     }
 
-    /** What the inner calls of this run were told. */
-    LevelReport beneath() {
-        return beneath;
+    /** Returns the gate levels that the results of this run's inner calls reported. */
+    LevelReport innerLevels() {
+        return innerLevels;
     }
 
-    /** What this call and those beneath it used so far. */
+    /** Returns the cost so far of this call and those beneath it. */
     TreeCost cost(long now) {
         return TreeCost.ofCall(call.service(), now - startNanos).plus(innerCost.get());
     }
 
-    /** Target time spent in the tree so far: above this call, by it and beneath it. */
+    /** Returns the target time spent in the call tree so far: above this call, by it and beneath it. */
     long sunkNanos(long now) {
         return call.context().sunkNanos() + spentNanos(now);
     }
 
-    /** Target time used by this call and those beneath it. */
+    /** Returns the target time used by this call and those beneath it. */
     long spentNanos(long now) {
         return now - startNanos + innerSpentNanos.get();
     }
--- a/src/main/java/io/beryldock/forwarding/ExecutionRegistry.java
+++ b/src/main/java/io/beryldock/forwarding/ExecutionRegistry.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Function;
 
-/** The calls that the target of this node runs now, by id. Thread safe. */
+/** The calls that this node's target is running, by id. Thread safe. */
 public final class ExecutionRegistry {
 
     private final Map<RequestId, Execution> running = new ConcurrentHashMap<>();
@@ -23,9 +23,9 @@
     }
 
     /**
-     * A registry that finds calls by their tags too.
+     * Creates a registry that also finds calls by their tags.
      *
-     * @param tagOf the id under which the target knows a call, where its inner calls name that
+     * @param tagOf returns the id under which the target knows a call, where the call's inner calls name that id
      */
     public static ExecutionRegistry create(Function<Call, Optional<String>> tagOf) {
         return new ExecutionRegistry(tagOf);
@@ -43,8 +43,8 @@
         }
     }
 
-    /** The running call that the target knows under the tag. */
-    Optional<Execution> tagged(String tag) {
+    /** Returns the running call that the target knows under the tag. */
+    Optional<Execution> findByTag(String tag) {
         return Optional.ofNullable(byTag.get(tag));
     }
 
@@ -52,7 +52,7 @@
         return Optional.ofNullable(running.get(id));
     }
 
-    /** Time left of the call that has most of it; 0 when none runs. */
+    /** Returns the longest time left of the running calls; 0 when none runs. */
     long longestRemainingNanos(long now) {
         long longest = 0;
         for (Execution execution : running.values()) {
@@ -61,14 +61,14 @@
         return longest;
     }
 
-    /** The running call whose time left is the nearest one above or at this, by no more than the bound. */
-    Optional<Execution> nextAbove(long remainingNanos, long boundNanos, long now) {
+    /** Returns the running call whose time left exceeds the given one by the least, within the maximum excess. */
+    Optional<Execution> findByRemainingTime(long remainingNanos, long maxExcessNanos, long now) {
         Optional<Execution> nearest = Optional.empty();
-        long least = boundNanos;
+        long leastExcess = maxExcessNanos;
         for (Execution execution : running.values()) {
-            long above = execution.remainingNanos(now) - remainingNanos;
-            if (above >= 0 && above <= least) {
-                least = above;
+            long excess = execution.remainingNanos(now) - remainingNanos;
+            if (excess >= 0 && excess <= leastExcess) {
+                leastExcess = excess;
                 nearest = Optional.of(execution);
             }
         }
--- a/src/main/java/io/beryldock/forwarding/HomeDispatcher.java
+++ b/src/main/java/io/beryldock/forwarding/HomeDispatcher.java
@@ -11,31 +11,32 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Dispatches a keyed request at the home of its ticket: through the door, then to a target.
+ * Dispatches a keyed request at the home node of its ticket: through load shedding, then to a target.
  *
- * <p>Thread safe. Nobody cancels it: the answer is kept for the caller's next try.
+ * <p>Thread safe. A dispatched request is never cancelled, because its answer is kept for the caller's next try.
  */
 public final class HomeDispatcher implements CallDispatcher {
 
     private final Policy policy;
-    private final DoorShedder door;
+    private final DoorShedder shedder;
     private final RetryLedger ledger;
     private final CallForwarder forwarder;
 
-    private HomeDispatcher(Policy policy, DoorShedder door, RetryLedger ledger, CallForwarder forwarder) {
+    private HomeDispatcher(Policy policy, DoorShedder shedder, RetryLedger ledger, CallForwarder forwarder) {
         this.policy = policy;
-        this.door = door;
+        this.shedder = shedder;
         this.ledger = ledger;
         this.forwarder = forwarder;
     }
 
-    public static HomeDispatcher create(Policy policy, DoorShedder door, RetryLedger ledger, CallForwarder forwarder) {
-        return new HomeDispatcher(policy, door, ledger, forwarder);
+    public static HomeDispatcher create(
+            Policy policy, DoorShedder shedder, RetryLedger ledger, CallForwarder forwarder) {
+        return new HomeDispatcher(policy, shedder, ledger, forwarder);
     }
 
     @Override
     public CompletableFuture<CallResult> dispatch(Call call, CallerIdentity identity) {
-        DoorCheck check = DoorCheck.of(policy, door, call);
+        EntrySheddingCheck check = EntrySheddingCheck.of(policy, shedder, call);
         if (check.refusal().isPresent()) {
             return CompletableFuture.completedFuture(check.refusal().get());
         }
--- a/src/main/java/io/beryldock/forwarding/InnerCallDetector.java
+++ b/src/main/java/io/beryldock/forwarding/InnerCallDetector.java
@@ -8,39 +8,43 @@
 import java.util.function.Supplier;
 
 /**
- * Tells inner calls of the target in this VM from callers' requests, where both come to one listener and neither
- * carries a context.
+ * Distinguishes inner calls of the target in this VM from callers' requests where both arrive at one listener and
+ * neither carries a context.
  *
- * <p>An inner call ends with the call within whose run it was made, so it never has more time left than every running
- * call. A request that has more is a caller's, and so are, for a while, all of its route. Without this, work for which
- * others have already run is shed at the door like new work, and an entry never learns what lies beneath a service.
+ * <p>An inner call ends with the call whose run made it, so its time left never exceeds the longest time left of the
+ * running calls. A request with more time left comes from a caller, and the other requests of its route count as
+ * callers' requests for a while. Without this distinction, inner calls, for which target time has already been spent,
+ * are shed at the entry like new requests, and an entry never learns which services lie beneath a service.
  *
- * <p>Where the id of a call names that of the run that made it, and the target runs that, nothing is guessed: by time
- * 84 in 100 calls are matched to their run.
+ * <p>Where the id of a call names the run that made it, and the target still runs that call, the parent is certain.
+ * Matching by time left finds the parent of 84 in 100 calls.
  *
- * <p>Targets have no keys, so that on a route that needs one every request is a caller's. Thread safe.
+ * <p>Targets have no keys, so on a route that needs a key every request is a caller's. Thread safe.
  */
 public final class InnerCallDetector {
 
-    /** How long the proof that callers use a route holds: routes keep their use, but the document may change it. */
-    private static final long PROOF_NANOS = Duration.ofSeconds(30).toNanos();
+    /** How long a route counts as used by callers after one proof: a new configuration may change its use. */
+    private static final long CALLER_PROOF_VALIDITY_NANOS =
+            Duration.ofSeconds(30).toNanos();
 
-    /** The target subtracts the time of a call by its own clock, and the call's way adds some. */
+    /** Allows for the target's own clock, by which it subtracts the time of a call, and for the call's transit time. */
     private static final long TOLERANCE_NANOS = Duration.ofMillis(20).toNanos();
 
     /**
-     * How much longer than a call its parent may have: a target passes its time left on in whole milliseconds, cut off.
-     * Of 4,161 inner calls of a run 84% lay within it of a running call and 4 of two calls of different routes.
+     * How much more time left than a call its parent may have: a target truncates the time left that it passes on to
+     * whole milliseconds. Of 4,161 inner calls, 84% lay within this bound of a running call, and 4 lay within it of two
+     * running calls of different routes.
      */
-    private static final long PARENT_WITHIN_NANOS = Duration.ofNanos(2_200_000).toNanos();
+    private static final long MAX_PARENT_EXCESS_NANOS =
+            Duration.ofNanos(2_200_000).toNanos();
 
-    /** How much less than a call its parent may have, from the way of the call to this node. */
-    private static final long WAY_NANOS = Duration.ofNanos(200_000).toNanos();
+    /** How much less time left than a call its parent may have, because of the call's transit time to this node. */
+    private static final long TRANSIT_NANOS = Duration.ofNanos(200_000).toNanos();
 
     private final ExecutionRegistry executions;
     private final Supplier<Optional<ServiceName>> ownService;
     private final Ticker ticker;
-    private final RouteMemory<Long> usedByCallers = new RouteMemory<>();
+    private final PerRouteCache<Long> usedByCallers = new PerRouteCache<>();
 
     private InnerCallDetector(ExecutionRegistry executions, Supplier<Optional<ServiceName>> ownService, Ticker ticker) {
         this.executions = executions;
@@ -54,20 +58,20 @@
     }
 
     /**
-     * Who makes an inner call.
+     * The origin of an inner call.
      *
-     * @param service whose target makes it
-     * @param parent the call within whose run it is made, where that could be told
+     * @param service the service whose target makes the call
+     * @param parent the call whose run makes the call, where it could be determined
      */
     record InnerCaller(ServiceName service, Optional<Execution> parent) {}
 
     /**
-     * The maker of the inner call; empty for a caller's request.
+     * Returns the origin of an inner call; empty for a caller's request.
      *
-     * @param parentTag the tag of the run that may have made it, where its own id names one
+     * @param parentTag the tag of the run that may have made the call, where the call's own id names one
      */
     Optional<InnerCaller> caller(Route route, Optional<Duration> timeLimit, Optional<String> parentTag) {
-        Optional<Execution> parent = parentTag.flatMap(executions::tagged);
+        Optional<Execution> parent = parentTag.flatMap(executions::findByTag);
         if (parent.isPresent()) {
             return ownService.get().map(service -> new InnerCaller(service, parent));
         }
@@ -83,8 +87,8 @@
             return Optional.empty();
         }
         boolean callers = usedByCallers
-                .of(route)
-                .filter(proof -> now - proof < PROOF_NANOS)
+                .get(route)
+                .filter(seenNanos -> now - seenNanos < CALLER_PROOF_VALIDITY_NANOS)
                 .isPresent();
         return callers
                 ? Optional.empty()
@@ -92,12 +96,12 @@
     }
 
     /**
-     * The run that makes the call, by its time left.
+     * Finds the run that makes the call by its time left.
      *
-     * <p>The target passes on what its own request has left. A call whose own limit is shorter has no parent by this
-     * rule.
+     * <p>The target passes on the time left of its own request. A call with a shorter limit of its own has no parent by
+     * this rule.
      */
     private Optional<Execution> parent(long asked, long now) {
-        return executions.nextAbove(asked - WAY_NANOS, PARENT_WITHIN_NANOS, now);
+        return executions.findByRemainingTime(asked - TRANSIT_NANOS, MAX_PARENT_EXCESS_NANOS, now);
     }
 }
--- a/src/main/java/io/beryldock/forwarding/PeerCallServer.java
+++ b/src/main/java/io/beryldock/forwarding/PeerCallServer.java
@@ -9,7 +9,7 @@
 import io.beryldock.wire.WireCall;
 import io.beryldock.wire.WireResult;
 
-/** Takes calls from other nodes for the target in this node's VM. Thread safe. */
+/** Handles calls from other nodes for the target in this node's VM. Thread safe. */
 public final class PeerCallServer implements PeerHandler {
 
     private final TargetExecutor executor;
@@ -30,7 +30,7 @@
             wire = WireCall.parseFrom(message.body());
             call = CallCodec.decode(wire);
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-            // No id can be read, so the sender takes this for another call's result and says UNKNOWN.
+            // The call id can't be read, so the sender treats this as another call's result and reports UNKNOWN.
             message.reply(WireResult.getDefaultInstance().toByteString());
             return;
         }
@@ -38,8 +38,8 @@
         message.onCancel(scope::cancel);
         executor.execute(call, scope).whenComplete((result, failure) -> {
             scope.close();
-            CallResult told = failure == null ? result : CallResult.unknown(Reason.INTERNAL, failure.toString());
-            message.reply(CallCodec.encode(call.id(), told).toByteString());
+            CallResult ended = failure == null ? result : CallResult.unknown(Reason.INTERNAL, failure.toString());
+            message.reply(CallCodec.encode(call.id(), ended).toByteString());
         });
     }
 }
--- a/src/main/java/io/beryldock/forwarding/RefusalSummary.java
+++ b/src/main/java/io/beryldock/forwarding/RefusalSummary.java
@@ -13,27 +13,28 @@
 import java.util.Map;
 
 /**
- * Logs requests that ended without an answer, those of one cause summed over a second.
+ * Logs requests that ended without an answer, as one line for each cause and second.
  *
- * <p>Thread safe. The volume is bounded under any load: at most {@link #MAX_CAUSES} lines a second.
+ * <p>Thread safe. The log volume is bounded under any load: at most {@link #MAX_CAUSES} causes a second and one line
+ * for the rest.
  */
 public final class RefusalSummary {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final Duration PERIOD = Duration.ofSeconds(1);
 
-    /** Causes told apart in one second; a node serves tens of routes, of which few fail at a time. */
+    /** Causes distinguished in one second; a node serves tens of routes, of which few fail at a time. */
     private static final int MAX_CAUSES = 40;
 
     @GuardedBy("this")
     private final Map<Cause, Sum> sums = new HashMap<>();
 
     @GuardedBy("this")
-    private long untold;
+    private long omitted;
 
     private RefusalSummary() {}
 
-    /** A summary that logs each second. */
+    /** Starts a summary that logs each second. */
     public static RefusalSummary start(TimerService timers) {
         RefusalSummary summary = new RefusalSummary();
         timers.every(PERIOD, summary::write);
@@ -42,7 +43,8 @@
 
     private record Cause(Outcome outcome, Reason reason, ServiceName service, int rank, String detail) {
 
-        // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+        // Written by hand: the C1 compiler of the nodes does not inline a record's generated equals, an invokedynamic
+        // call.
         @Override
         public boolean equals(Object other) {
             return other instanceof Cause that
@@ -71,7 +73,7 @@
         int rank = call.context().priority().rank();
         Cause cause = new Cause(outcome, reason, call.service(), rank, detail);
         if (sums.size() >= MAX_CAUSES && !sums.containsKey(cause)) {
-            untold++;
+            omitted++;
             return;
         }
         sums.merge(cause, new Sum(1, id, id), (known, one) -> known.plus(id));
@@ -88,10 +90,10 @@
                 sum.first(),
                 sum.last(),
                 cause.detail()));
-        if (untold > 0) {
-            log.atInfo().log("without answer in 1 s: %d more of other causes", untold);
+        if (omitted > 0) {
+            log.atInfo().log("without answer in 1 s: %d more requests with other causes", omitted);
         }
         sums.clear();
-        untold = 0;
+        omitted = 0;
     }
 }
--- a/src/main/java/io/beryldock/forwarding/RequestJournal.java
+++ b/src/main/java/io/beryldock/forwarding/RequestJournal.java
@@ -12,7 +12,7 @@
 import io.beryldock.timeline.RefusalCounter;
 import java.util.Optional;
 
-/** Writes down how requests without an answer ended, for operators' questions and the log. Thread safe. */
+/** Records how requests without an answer ended, for operators' queries and the log. Thread safe. */
 public final class RequestJournal {
 
     private final RefusalCounter refusals;
@@ -30,13 +30,13 @@
         return new RequestJournal(refusals, summary, events);
     }
 
-    /** Notes the end of a request at its entry, or of an inner call at its node. */
+    /** Records the end of a request at its entry, or of an inner call at its node. */
     void ended(Call call, CallResult result) {
-        result.reason().ifPresent(reason -> note(call, result, reason));
+        result.reason().ifPresent(reason -> recordUnanswered(call, result, reason));
         decisions.ended(call, result);
     }
 
-    private void note(Call call, CallResult result, Reason reason) {
+    private void recordUnanswered(Call call, CallResult result, Reason reason) {
         refusals.record(reason, call.context().priority(), call.service(), call.caller());
         summary.add(call, result.outcome(), reason, result.detail());
         Optional<RequestId> root = Optional.of(call.context().root());
--- a/src/main/java/io/beryldock/forwarding/RequestTally.java
+++ b/src/main/java/io/beryldock/forwarding/RequestTally.java
@@ -11,9 +11,10 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts the root requests of this node by class and end, and the retries of each.
+ * Counts the root requests of this node, and their retries, by priority class and outcome.
  *
- * <p>Thread safe. Invariant, checked as each request ends: no root request spent more retries than its allowance.
+ * <p>Thread safe. Invariant, checked by the retry account as each request ends: no root request spent more retries than
+ * its allowance.
  */
 public final class RequestTally {
 
@@ -28,12 +29,12 @@
         return new RequestTally();
     }
 
-    void asked(PriorityClass priority) {
+    void onStart(PriorityClass priority) {
         inFlight.increment();
         counts(priority).asked.increment();
     }
 
-    void ended(PriorityClass priority, CallResult result, int retries) {
+    void onEnd(PriorityClass priority, CallResult result, int retries) {
         inFlight.decrement();
         ClassCounts counts = counts(priority);
         counts.retries.add(retries);
@@ -55,17 +56,17 @@
         return classes.computeIfAbsent(priority.name(), name -> new ClassCounts());
     }
 
-    /** Root requests of this node that have no end yet. */
+    /** Returns the number of root requests of this node that have not ended. */
     public long inFlight() {
         return inFlight.sum();
     }
 
-    /** Most retries that one root request of this node has spent or lost. */
+    /** Returns the largest number of retries that one root request of this node has spent or lost. */
     public long mostRetries() {
         return mostRetries.get();
     }
 
-    /** What was counted since the start, by class. */
+    /** Returns the counts since the start, by class. */
     public ImmutableMap<String, Row> rows() {
         ImmutableMap.Builder<String, Row> rows = ImmutableMap.builder();
         classes.forEach((name, counts) -> rows.put(name, counts.row()));
--- a/src/main/java/io/beryldock/forwarding/RootAdmission.java
+++ b/src/main/java/io/beryldock/forwarding/RootAdmission.java
@@ -23,13 +23,14 @@
 /**
  * Decides whether and when a caller's request starts, before any work is spent on it.
  *
- * <p>Where credits govern a request's tree it starts when they cover all of it, and waits for them as long as that
- * serves its caller. Elsewhere the levels that answers report decide. Thread safe.
+ * <p>Where credits govern the call tree of a request, the request starts when credits cover the whole tree, and waits
+ * for credits as long as the wait is of use to its caller. Elsewhere the gate levels that answers report decide. Thread
+ * safe.
  */
 public final class RootAdmission {
 
-    /** Shorter waits change nothing beneath: callers name their time in milliseconds. */
-    private static final long SHORTEST_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    /** Shorter waits are not subtracted from the time left: callers give their time limits in milliseconds. */
+    private static final long MIN_DEDUCTED_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final Ports ports;
 
@@ -37,8 +38,9 @@
         this.ports = ports;
     }
 
-    /** What the admission works with. */
-    public record Ports(Policy policy, DoorShedder door, TreeCredits credits, EntryAdmission waiting, Ticker ticker) {}
+    /** Dependencies of the admission. */
+    public record Ports(
+            Policy policy, DoorShedder shedder, TreeCredits credits, EntryAdmission waiting, Ticker ticker) {}
 
     public static RootAdmission create(Ports ports) {
         return new RootAdmission(ports);
@@ -47,11 +49,11 @@
     /**
      * A caller's request before its first call.
      *
-     * @param tree its kind
-     * @param returned whether its caller was refused before and comes back
-     * @param objectiveNanos time left of that within which an answer is worth most; 0 or less for a caller who is
-     *     past it and still wants an answer
-     * @param since time of the ticker at which the times left were told
+     * @param tree the kind of its call tree
+     * @param returned whether the request is a retry after a refusal
+     * @param objectiveNanos time left of the objective, within which an answer is worth most; 0 or less for a caller
+     *     that is past the objective and still wants an answer
+     * @param since time of the ticker from which the times left count
      */
     record Root(
             TreeKey tree,
@@ -80,10 +82,10 @@
             return call.context().priority().rank();
         }
 
-        /** The same request at a later time: what waited at its entry has that much less time beneath it. */
+        /** Returns the same request at a later time, with the wait at its entry subtracted from its times left. */
         private Root at(long now) {
             long waited = now - since;
-            if (waited < SHORTEST_WAIT_NANOS) {
+            if (waited < MIN_DEDUCTED_WAIT_NANOS) {
                 return this;
             }
             Call left = call.attempt(call.id(), call.context().afterNanos(waited));
@@ -101,24 +103,25 @@
         }
     }
 
-    /** Who waits is refused now, and so is who would wait later: the node stops. */
+    /** Refuses the requests that wait, and those that would have to wait later, because the node stops. */
     void stop() {
         ports.waiting().stop();
     }
 
-    /** The refusal of a request that needs not wait to be decided over; empty when it may go on. */
+    /** Returns the refusal of a request that can be decided on without a wait; empty when the request may go on. */
     Optional<CallResult> refusal(Root root) {
         return ports.credits().governs(root.tree())
                 ? Optional.empty()
-                : DoorCheck.of(ports.policy(), ports.door(), root.call()).refusal();
+                : EntrySheddingCheck.of(ports.policy(), ports.shedder(), root.call())
+                        .refusal();
     }
 
-    /** Starts the request when there is room for its tree; the future completes with what became of it. */
+    /** Starts the request when there is room for its call tree; the future completes with the request's result. */
     CompletableFuture<CallResult> start(
             Root root, CancelScope scope, Function<Call, CompletableFuture<CallResult>> dispatch) {
         Root begun = root.at(now());
         if (!ports.credits().governs(root.tree())) {
-            // The homes of services that have become short hear of the demand, so that credits can govern from then on.
+            // Reports the demand to the home nodes of services that are short, so that credits can govern from then on.
             ports.credits().demand(root.tree(), root.claimant());
             return run(begun, begun.call(), dispatch);
         }
@@ -131,12 +134,12 @@
         return ports.ticker().nanos();
     }
 
-    /** Credits have ceased to govern while the request waited: the levels decide over it as over new ones. */
+    /** Decides by the levels, as for a new request, because credits ceased to govern while the request waited. */
     private CompletableFuture<CallResult> startByLevels(
             Root root, Function<Call, CompletableFuture<CallResult>> dispatch) {
-        return DoorCheck.of(ports.policy(), ports.door(), root.call())
+        return EntrySheddingCheck.of(ports.policy(), ports.shedder(), root.call())
                 .refusal()
-                .map(RootAdmission::finished)
+                .map(RootAdmission::completed)
                 .orElseGet(() -> run(root, root.call(), dispatch));
     }
 
@@ -145,8 +148,8 @@
         return switch (decision.kind()) {
             case COVERED -> dispatchCovered(root, dispatch);
             case NOT_GOVERNED -> startByLevels(root, dispatch);
-            case REFUSED -> finished(refused(root, Reason.NO_ROOM_BENEATH, decision.retryAfterMillis()));
-            case GONE -> finished(CallResult.notRun(Reason.CANCELLED, "while it waited at its entry"));
+            case REFUSED -> completed(refused(root, Reason.NO_ROOM_BENEATH, decision.retryAfterMillis()));
+            case GONE -> completed(CallResult.notRun(Reason.CANCELLED, "while it waited at its entry"));
         };
     }
 
@@ -162,7 +165,7 @@
         });
     }
 
-    /** Dispatches the call of a root request and learns from its end. */
+    /** Dispatches the call of a root request, and updates the credits from its result. */
     private CompletableFuture<CallResult> run(
             Root root, Call call, Function<Call, CompletableFuture<CallResult>> dispatch) {
         return dispatch.apply(call).thenApply(result -> {
@@ -181,7 +184,7 @@
                 .withUnspentRetries(root.call().context().retryAllowance());
     }
 
-    private static CompletableFuture<CallResult> finished(CallResult result) {
+    private static CompletableFuture<CallResult> completed(CallResult result) {
         return CompletableFuture.completedFuture(result);
     }
 }
--- a/src/main/java/io/beryldock/forwarding/TargetCrashDetector.java
+++ b/src/main/java/io/beryldock/forwarding/TargetCrashDetector.java
@@ -20,86 +20,87 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells a crash of the target from the loss of a single connection.
+ * Distinguishes a crash of the target from the loss of a single connection.
  *
- * <p>Guards against a request that crashes each target that runs it: what was in flight at a crash must be remembered.
- * Lost exchanges are judged by the {@link TargetLife} in which they began, so that a target that was started again
- * meanwhile is not taken for one that never ended. Invariant: each loss is decided once, within a bounded time whatever
- * the target does. Thread safe.
+ * <p>Guards against a request that crashes each target that runs it: requests in flight at a crash must be recorded.
+ * Lost exchanges are judged by the {@link TargetLife} with which they began, so that a target that has restarted in the
+ * meantime is not mistaken for one that never ended. Invariant: each loss is decided once, within a bounded time
+ * whatever the target does. Thread safe.
  */
 public final class TargetCrashDetector {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
-    private static final int LOG_SECONDS = 1;
+    private static final int LOG_INTERVAL_SECONDS = 1;
 
-    /** Time in which the exchanges of one crash are gathered before the life is looked at. */
-    private static final Duration GATHERING = Duration.ofMillis(20);
+    /** Time for which the lost exchanges of one crash are collected before the process is checked. */
+    private static final Duration COLLECTION_TIME = Duration.ofMillis(20);
 
-    /** Longest wait for a sign of life: a target's full queue of connections neither accepts nor refuses one. */
-    private static final Duration LONGEST_LOOK = Duration.ofMillis(500);
+    /** Longest wait for the process check: a target with a full accept queue never answers a connection attempt. */
+    private static final Duration CHECK_TIMEOUT = Duration.ofMillis(500);
 
-    /** Longest wait until the other nodes know of a crash. */
-    private static final Duration LONGEST_NEWS = Duration.ofMillis(500);
+    /** Longest wait until the other nodes have been notified of a crash. */
+    private static final Duration NOTIFICATION_TIMEOUT = Duration.ofMillis(500);
 
-    private final TargetLives lives;
+    private final TargetLives processes;
     private final Quarantine quarantine;
-    private final CrashNews news;
+    private final CrashNews notifier;
     private final TimerService timers;
     private final EventSink events;
 
     @GuardedBy("this")
-    private final Map<TargetLife, Losses> undecided = new HashMap<>();
+    private final Map<TargetLife, LostExchanges> undecided = new HashMap<>();
 
     private volatile boolean idle = true;
 
     private TargetCrashDetector(
-            TargetLives lives, Quarantine quarantine, CrashNews news, TimerService timers, EventSink events) {
-        this.lives = lives;
+            TargetLives processes, Quarantine quarantine, CrashNews notifier, TimerService timers, EventSink events) {
+        this.processes = processes;
         this.quarantine = quarantine;
-        this.news = news;
+        this.notifier = notifier;
         this.timers = timers;
         this.events = events;
     }
 
     public static TargetCrashDetector create(
-            TargetLives lives, Quarantine quarantine, CrashNews news, TimerService timers, EventSink events) {
-        return new TargetCrashDetector(lives, quarantine, news, timers, events);
+            TargetLives processes, Quarantine quarantine, CrashNews notifier, TimerService timers, EventSink events) {
+        return new TargetCrashDetector(processes, quarantine, notifier, timers, events);
     }
 
-    /** The life by which an exchange that begins now is judged if it is lost. */
-    TargetLife lifeOf(InetSocketAddress target) {
-        return lives.current(target);
+    /** Returns the process by which an exchange that begins now is judged if it is lost. */
+    TargetLife processOf(InetSocketAddress target) {
+        return processes.current(target);
     }
 
     /**
-     * An exchange with the target broke off while the request was in flight.
+     * Records that an exchange with the target was lost while the request was in flight.
      *
-     * @param life as {@link #lifeOf} gave it before the exchange began
+     * @param process as {@link #processOf} returned it before the exchange began
      * @param run the request, and whether this run of it began as a suspect's
      * @return completes when it is decided whether the target crashed, {@link LifeSign#ENDED}, and the nodes of the
-     *     service know, so that a caller who sends the request again at once meets the verdict
+     *     service have been notified, so that a caller who resends the request at once meets the verdict
      */
-    CompletableFuture<LifeSign> onLost(AnnouncedTarget target, TargetLife life, LostRun run) {
-        Losses losses;
+    CompletableFuture<LifeSign> onLost(AnnouncedTarget target, TargetLife process, LostRun run) {
+        LostExchanges losses;
         boolean first;
         synchronized (this) {
-            first = !undecided.containsKey(life);
-            losses = undecided.computeIfAbsent(life, begun -> new Losses(target));
+            first = !undecided.containsKey(process);
+            losses = undecided.computeIfAbsent(process, key -> new LostExchanges(target));
             losses.runs.add(run);
             idle = false;
         }
         if (first) {
             long lostAt = timers.ticker().nanos();
-            timers.after(GATHERING.plus(LONGEST_LOOK), () -> decide(life, losses, LifeSign.UNKNOWN));
-            timers.after(GATHERING, () -> look(life, losses, lostAt));
+            timers.after(COLLECTION_TIME.plus(CHECK_TIMEOUT), () -> decide(process, losses, LifeSign.UNKNOWN));
+            timers.after(COLLECTION_TIME, () -> checkProcess(process, losses, lostAt));
         }
         return losses.decided;
     }
 
     /**
-     * The decision over a loss of the same request, while it is not made.
+     * Returns the pending decision on a lost run of the same request; empty when there is none.
      *
-     * <p>A run that began meanwhile would not be known for a suspect's, so that its crash would not convict it.
+     * <p>A run that began before the decision would not be marked as a suspect's, so a crash in that run would not
+     * convict the request.
      */
     Optional<CompletableFuture<LifeSign>> undecided(Fingerprint fingerprint) {
         if (idle) {
@@ -113,52 +114,53 @@
         }
     }
 
-    private void look(TargetLife life, Losses losses, long lostAtNanos) {
-        life.look(lostAtNanos).whenComplete((sign, failure) -> {
+    private void checkProcess(TargetLife process, LostExchanges losses, long lostAtNanos) {
+        process.look(lostAtNanos).whenComplete((state, failure) -> {
             if (failure != null) {
-                log.atSevere().withCause(failure).log("the target could not be looked at after lost exchanges");
+                log.atSevere().withCause(failure).log("check of the target process after lost exchanges failed");
             }
-            decide(life, losses, failure == null ? sign : LifeSign.UNKNOWN);
+            decide(process, losses, failure == null ? state : LifeSign.UNKNOWN);
         });
     }
 
-    /** The verdict is made before the loss counts as decided, so that no run of the request begins between the two. */
-    private void decide(TargetLife life, Losses losses, LifeSign sign) {
+    /** Makes the verdict before the loss counts as decided, so that no run of the request begins between the two. */
+    private void decide(TargetLife process, LostExchanges losses, LifeSign state) {
         Optional<QuarantineDelta> suspects;
         synchronized (this) {
-            if (undecided.get(life) != losses) {
+            if (undecided.get(process) != losses) {
                 return;
             }
-            suspects = judge(losses.runs, sign);
-            undecided.remove(life);
+            suspects = updateQuarantine(losses.runs, state);
+            undecided.remove(process);
             idle = undecided.isEmpty();
         }
-        log.atInfo().atMostEvery(LOG_SECONDS, TimeUnit.SECONDS).log(
-                "%d exchanges with the target of %s were lost, its life: %s",
-                losses.runs.size(), losses.target.service(), sign);
-        if (sign == LifeSign.ENDED) {
-            noteCrash(losses);
+        log.atInfo().atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+                "lost %d exchanges with the target of service %s; state of its process: %s",
+                losses.runs.size(), losses.target.service(), state);
+        if (state == LifeSign.ENDED) {
+            recordCrash(losses);
         }
-        suspects.ifPresentOrElse(told -> tell(losses, sign, told), () -> losses.decided.complete(sign));
+        suspects.ifPresentOrElse(delta -> notifyNodes(losses, state, delta), () -> losses.decided.complete(state));
     }
 
-    private Optional<QuarantineDelta> judge(List<LostRun> runs, LifeSign sign) {
-        return switch (sign) {
+    private Optional<QuarantineDelta> updateQuarantine(List<LostRun> runs, LifeSign state) {
+        return switch (state) {
             case GOES_ON -> {
                 runs.forEach(quarantine::onAbandoned);
                 yield Optional.empty();
             }
-            case UNKNOWN -> Optional.of(quarantine.onTargetDoubtful(runs));
+            case UNKNOWN -> Optional.of(quarantine.onTargetMaybeEnded(runs));
             case ENDED -> Optional.of(quarantine.onTargetEnded(runs));
         };
     }
 
-    private void tell(Losses losses, LifeSign sign, QuarantineDelta suspects) {
-        timers.after(LONGEST_NEWS, () -> losses.decided.complete(sign));
-        news.tell(losses.target.service(), suspects).whenComplete((told, failure) -> losses.decided.complete(sign));
+    private void notifyNodes(LostExchanges losses, LifeSign state, QuarantineDelta suspects) {
+        timers.after(NOTIFICATION_TIMEOUT, () -> losses.decided.complete(state));
+        notifier.tell(losses.target.service(), suspects)
+                .whenComplete((notified, failure) -> losses.decided.complete(state));
     }
 
-    private void noteCrash(Losses losses) {
+    private void recordCrash(LostExchanges losses) {
         losses.target.gate().targetRestarted();
         events.record(
                 EventKind.TARGET_LOST,
@@ -167,17 +169,17 @@
     }
 
     /**
-     * Exchanges of one life that were lost and wait for the decision.
+     * Lost exchanges of one target process that wait for the decision.
      *
-     * <p>The runs are guarded by the detector and don't change once the loss is decided.
+     * <p>The runs are guarded by the detector's lock and don't change once the loss is decided.
      */
-    private static final class Losses {
+    private static final class LostExchanges {
 
         private final AnnouncedTarget target;
         private final List<LostRun> runs = new ArrayList<>();
         private final CompletableFuture<LifeSign> decided = new CompletableFuture<>();
 
-        Losses(AnnouncedTarget target) {
+        LostExchanges(AnnouncedTarget target) {
             this.target = target;
         }
 
--- a/src/main/java/io/beryldock/forwarding/TargetExecutor.java
+++ b/src/main/java/io/beryldock/forwarding/TargetExecutor.java
@@ -19,10 +19,10 @@
 import java.util.function.Supplier;
 
 /**
- * Runs calls at the target in this node's VM, each behind the gate.
+ * Runs calls at the target in this node's VM, each after admission by the gate.
  *
- * <p>Thread safe. Whatever other nodes believe, this node decides: a call for a target that has left, or is drained, is
- * refused NOT_RUN here.
+ * <p>Thread safe. This node decides, whatever other nodes assume: it refuses with NOT_RUN a call for a target that
+ * has left or is drained.
  */
 public final class TargetExecutor {
 
@@ -35,7 +35,7 @@
                 new DecisionWriter("gate", DecisionLog.create(ports.timers().ticker()));
     }
 
-    /** What the executor works with; {@code loads} hears of the gate's load at each end of a call. */
+    /** Dependencies of the executor; {@code loads} accepts the gate's load at the end of each call. */
     public record Ports(
             Supplier<Optional<AnnouncedTarget>> target,
             TargetClient client,
@@ -57,15 +57,13 @@
         if (!isKeyed(call)) {
             return admit(call, scope);
         }
-        // A second copy of a keyed call must meet its first run before anything here can refuse it. The run has a scope
-        // of
-        // its own: when the home of the ticket dies its connection is lost, and a run given up for that would throw
-        // away
-        // the answer that the caller's next try can still find here.
+        // A second copy of a keyed call must find its first run before any check here can refuse the copy. The run has
+        // its own scope: when the ticket's home node fails, its connection is lost, and giving up the run for that
+        // reason would discard the answer that the caller's next try can still find here.
         return ports.guard().run(call, new CallerIdentity(call.identity()), () -> admit(call, CancelScope.create()));
     }
 
-    /** Whether the call comes from the home of its ticket. */
+    /** Whether the call comes from the home node of its ticket. */
     static boolean isKeyed(Call call) {
         return call.key().isPresent() && !call.identity().isEmpty();
     }
@@ -75,19 +73,19 @@
                 ports.target().get().filter(found -> found.service().equals(call.service()));
         if (target.isEmpty()) {
             CallResult refusal = CallResult.notRun(Reason.NO_TARGET, "this node has no target of " + call.service());
-            return finished(refusal, call);
+            return completed(refusal, call);
         }
         Fingerprint fingerprint = Fingerprint.of(call);
         if (ports.quarantine().verdict(fingerprint) == Verdict.REFUSED) {
-            return finished(CallResult.notRun(Reason.QUARANTINED, "it was in flight when targets crashed"), call);
+            return completed(CallResult.notRun(Reason.QUARANTINED, "it was in flight when targets crashed"), call);
         }
         TargetRun run = new TargetRun(ports, target.get(), call, fingerprint, scope, decisions);
         run.start();
         return run.result();
     }
 
-    /** A refusal before anything was spent: the whole allowance goes back. */
-    private CompletableFuture<CallResult> finished(CallResult refusal, Call call) {
+    /** Completes with a refusal before anything was spent: the whole retry allowance is returned. */
+    private CompletableFuture<CallResult> completed(CallResult refusal, Call call) {
         decisions.ended(call, refusal);
         int unspent = call.context().retryAllowance();
         return CompletableFuture.completedFuture(refusal.withUnspentRetries(unspent));
--- a/src/main/java/io/beryldock/forwarding/TargetRun.java
+++ b/src/main/java/io/beryldock/forwarding/TargetRun.java
@@ -24,11 +24,11 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One call at the target in this node's VM: queued, running, ended.
+ * One run of a call at the target in this node's VM: queued, running, ended.
  *
- * <p>Thread safe. Invariants: the target is sent the call at most once and only while it holds a permit; the permit is
- * given back when the target has answered, even if the caller gave up before, since work that was given up still holds
- * its slot at the target.
+ * <p>Thread safe. Invariants: the call is sent to the target at most once and only while the run holds a permit; the
+ * permit is released when the target has answered, even if the caller gave up earlier, because work that was given up
+ * still holds its slot at the target.
  */
 final class TargetRun implements GateListener {
 
@@ -92,12 +92,12 @@
             handle = submitted;
         }
         scope.onCancel(() -> giveUp(Reason.CANCELLED));
-        if (givenUpBefore()) {
+        if (isGivenUp()) {
             submitted.cancel();
         }
     }
 
-    private boolean givenUpBefore() {
+    private boolean isGivenUp() {
         return reasonGivenUp().isPresent();
     }
 
@@ -107,29 +107,32 @@
 
     @Override
     public void refused(Reason reason, long retryAfterMillis) {
-        Reason told;
+        Reason reported;
         synchronized (this) {
-            told = givenUp == Reason.TIMED_OUT ? Reason.DEADLINE_PASSED : reason;
+            reported = givenUp == Reason.TIMED_OUT ? Reason.DEADLINE_PASSED : reason;
         }
-        CallResult refusal = CallResult.notRun(told, "refused at the gate of " + call.service())
+        CallResult refusal = CallResult.notRun(reported, "refused at the gate of " + call.service())
                 .withRetryAfterMillis(retryAfterMillis)
                 .withUnspentRetries(call.context().retryAllowance());
         finish(refusal);
     }
 
-    /** A request that was just lost here keeps its permit until it is known whether it took the target down. */
+    /**
+     * Delays a request whose earlier run here was just lost until it is known whether that run crashed the target. The
+     * request keeps its permit meanwhile.
+     */
     @Override
     public void admitted(Permit permit) {
         Optional<CompletableFuture<LifeSign>> undecided = ports.crashes().undecided(fingerprint);
         if (undecided.isPresent()) {
-            undecided.get().thenAccept(sign -> admitted(permit));
+            undecided.get().thenAccept(state -> admitted(permit));
         } else {
             begin(permit);
         }
     }
 
     private void begin(Permit permit) {
-        if (givenUpBefore()) {
+        if (isGivenUp()) {
             permit.release(Completion.FAILED);
             refused(Reason.CANCELLED, 0);
             return;
@@ -146,13 +149,13 @@
         CallContext context = call.context();
         Call sent =
                 call.attempt(call.id(), context.afterNanos(context.remainingNanos() - started.remainingNanos(now())));
-        TargetLife life = ports.crashes().lifeOf(target.address());
+        TargetLife process = ports.crashes().processOf(target.address());
         TargetExchange sending = ports.client().send(sent);
         synchronized (this) {
             exchange = sending;
         }
-        sending.reply().thenAccept(reply -> onReply(started, permit, life, verdict, reply));
-        if (givenUpBefore()) {
+        sending.reply().thenAccept(reply -> onReply(started, permit, process, verdict, reply));
+        if (isGivenUp()) {
             abort(sending);
         }
     }
@@ -167,33 +170,33 @@
         return started;
     }
 
-    private void onReply(Execution started, Permit permit, TargetLife life, Verdict verdict, TargetReply reply) {
+    private void onReply(Execution started, Permit permit, TargetLife process, Verdict verdict, TargetReply reply) {
         permit.release(completion(reply));
-        CallResult told = close(started, toResult(reply));
-        if (givenUpBefore() && TargetExecutor.isKeyed(call)) {
-            // The caller was told UNKNOWN; its next try under the same key finds the answer.
-            ports.guard().lateAnswer(call, told);
+        CallResult ended = close(started, toResult(reply));
+        if (isGivenUp() && TargetExecutor.isKeyed(call)) {
+            // The caller got UNKNOWN; its next try under the same key finds the answer.
+            ports.guard().lateAnswer(call, ended);
         }
         switch (reply.kind()) {
             case ANSWERED -> {
                 ports.quarantine().onCompleted(fingerprint);
-                finish(told);
+                finish(ended);
             }
             case REFUSED, NOT_SENT, GIVEN_UP -> {
                 ports.quarantine().onAbandoned(fingerprint);
-                finish(told);
+                finish(ended);
             }
-            // Also where the caller has gone: what was lost with the target may have taken it down all the same.
+            // Applies also when the caller has gone: the lost request may still have crashed the target.
             case LOST ->
                 ports.crashes()
-                        .onLost(target, life, new LostRun(fingerprint, verdict == Verdict.ALONE))
-                        .thenAccept(sign -> finish(judged(told, sign)));
+                        .onLost(target, process, new LostRun(fingerprint, verdict == Verdict.ALONE))
+                        .thenAccept(state -> finish(withCrashReason(ended, state)));
         }
     }
 
     /**
-     * Work that nobody waits for is stopped, so that it frees its slot; what must not be repeated goes on to its end,
-     * as the caller can't be told otherwise whether it took effect.
+     * Aborts an idempotent call that no one waits for, so that it frees its slot. A non-idempotent call runs to its
+     * end, because otherwise the caller could not learn whether it took effect.
      */
     private void abort(TargetExchange running) {
         if (call.idempotent()) {
@@ -224,8 +227,8 @@
         return reply.answer().filter(answer -> !answer.isServerError()).isPresent();
     }
 
-    private static CallResult judged(CallResult lost, LifeSign sign) {
-        return sign == LifeSign.ENDED ? lost.withReason(Reason.TARGET_CRASHED) : lost;
+    private static CallResult withCrashReason(CallResult lost, LifeSign state) {
+        return state == LifeSign.ENDED ? lost.withReason(Reason.TARGET_CRASHED) : lost;
     }
 
     private static CallResult toResult(TargetReply reply) {
@@ -238,18 +241,18 @@
         };
     }
 
-    /** Ends the execution: its inner calls are cancelled, what is left of its retries goes back with the result. */
-    private CallResult close(Execution started, CallResult told) {
+    /** Ends the execution: cancels its inner calls and returns its unspent retries with the result. */
+    private CallResult close(Execution started, CallResult ended) {
         ports.executions().remove(call.id());
         int unspent = started.account().close();
         started.scope().cancel();
         long now = now();
-        return told.withUnspentRetries(unspent)
+        return ended.withUnspentRetries(unspent)
                 .withSpentNanos(started.spentNanos(now))
                 .withCost(started.cost(now));
     }
 
-    /** The time is over or the caller is gone: a queued call is refused, a running one ends UNKNOWN. */
+    /** Gives up the call after a time-out or cancellation: a queued call is refused, a running one ends UNKNOWN. */
     private void giveUp(Reason reason) {
         Execution running;
         GateHandle submitted;
@@ -274,12 +277,12 @@
         }
     }
 
-    private void finish(CallResult told) {
+    private void finish(CallResult ended) {
         deadline.cancel();
         TargetLoad load = target.gate().load();
         ports.loads().accept(load);
-        if (result.complete(told.withLevels(levels()).withLoad(load))) {
-            decisions.ended(call, told, target.gate()::level);
+        if (result.complete(ended.withLevels(levels()).withLoad(load))) {
+            decisions.ended(call, ended, target.gate()::level);
         }
     }
 
@@ -289,7 +292,7 @@
         synchronized (this) {
             running = execution;
         }
-        return running == null ? ImmutableList.of(own) : running.beneath().with(own);
+        return running == null ? ImmutableList.of(own) : running.innerLevels().with(own);
     }
 
     private long now() {
--- a/src/main/java/io/beryldock/quarantine/NodeLosses.java
+++ b/src/main/java/io/beryldock/quarantine/NodeLosses.java
@@ -5,19 +5,19 @@
 import java.util.Set;
 
 /**
- * The nodes whose connections were lost of late.
+ * The nodes whose connections were lost recently.
  *
  * <p>Not thread safe.
  */
 final class NodeLosses {
 
     private final long windowNanos;
-    private final int mass;
+    private final int massLoss;
     private final Map<Long, Long> lostAt = new HashMap<>();
 
-    NodeLosses(long windowNanos, int mass) {
+    NodeLosses(long windowNanos, int massLoss) {
         this.windowNanos = windowNanos;
-        this.mass = mass;
+        this.massLoss = massLoss;
     }
 
     void onLost(long crash, long now) {
@@ -25,12 +25,12 @@
         lostAt.put(crash, now);
     }
 
-    /** Whether so many nodes went at once that they share a cause. */
+    /** Whether so many nodes were lost within the window that the losses share a cause. */
     boolean isMassLoss() {
-        return lostAt.size() >= mass;
+        return lostAt.size() >= massLoss;
     }
 
-    /** Names of the losses within the window. */
+    /** Ids of the losses within the window. */
     Set<Long> crashes() {
         return Set.copyOf(lostAt.keySet());
     }
--- a/src/main/java/io/beryldock/quarantine/Quarantine.java
+++ b/src/main/java/io/beryldock/quarantine/Quarantine.java
@@ -19,23 +19,23 @@
 /**
  * The node's table of requests that crash targets.
  *
- * <p>Guards against a request that crashes each target that runs it and is sent again by its caller: the targets of a
- * service go down one after the other. What was in flight at a crash is suspect and runs while no other suspect does at
- * the same target; if that target crashes too, the request is refused everywhere. As the second crash counts only for a
- * run that began as a suspect, a popular request that was in flight at two targets lost at once is not refused: it runs
- * once more, completes and is free.
+ * <p>Guards against a request that crashes each target that runs it and is resent by its caller, so that the targets of
+ * a service fail one after the other. A request in flight at a crash becomes a suspect, which runs only while no other
+ * suspect runs at the same target; if that target crashes too, the request is refused at every node. The second crash
+ * counts only for a run that began as a suspect's. A popular request that was in flight at two targets lost at the same
+ * time is therefore not refused: it runs once more, completes and is cleared.
  *
- * <p>Nodes exchange deltas; merging is commutative and idempotent, and the times in them are durations. A suspect is
- * known by its fingerprint, so equal requests share one state. Invariant: at most one suspect runs at this node's
- * target. Thread safe; while nobody is suspect each check is one read.
+ * <p>Nodes exchange deltas; merging is commutative and idempotent, and the times in deltas are durations. A suspect is
+ * identified by its fingerprint, so equal requests share one state. Invariant: at most one suspect runs at this node's
+ * target. Thread safe; while there are no suspects, each check is one volatile read.
  */
 public final class Quarantine {
 
-    /** The number of a node's own loss; its target's crashes count from 1. */
+    /** Crash number of the loss of a node itself; the crashes of its target are numbered from 1. */
     private static final long NODE_LOSS = 0;
 
-    /** The number of a crash that the node told with the result of a call, whose own number is not known yet. */
-    private static final long TOLD_CRASH = -1;
+    /** Crash number of a crash that a node reported with a call's result; the node's number of it is not known yet. */
+    private static final long REPORTED_CRASH = -1;
 
     private final NodeDescriptor self;
     private final Ticker ticker;
@@ -61,7 +61,7 @@
         return new Quarantine(self, ticker, settings, events);
     }
 
-    /** Whether the request may run; changes nothing. */
+    /** Returns whether the request may run; changes no state. */
     public Verdict verdict(Fingerprint fingerprint) {
         if (idle) {
             return Verdict.FREE;
@@ -74,7 +74,7 @@
     /**
      * Starts a run at this node's target.
      *
-     * @return false when it may not start now: it is refused, or another suspect runs here
+     * @return false when the run may not start now: the request is refused, or another suspect runs here
      */
     public boolean onStarted(Fingerprint fingerprint) {
         return start(fingerprint, false) != Verdict.REFUSED;
@@ -83,17 +83,18 @@
     /**
      * Starts a run at this node's target.
      *
-     * @param toldSuspect whether the sender holds the request for a suspect; its news may come before that of the crash
-     * @return FREE or ALONE when it starts, ALONE as the one suspect here; REFUSED when it may not start now, as it is
-     *     refused or another suspect runs here
+     * @param sentAsSuspect whether the sender knows the request as a suspect; the call may arrive before the delta that
+     *     reports the crash
+     * @return FREE or ALONE when the run starts, ALONE as the only suspect here; REFUSED when the run may not start
+     *     now, because the request is refused or another suspect runs here
      */
-    public Verdict start(Fingerprint fingerprint, boolean toldSuspect) {
-        if (idle && !toldSuspect) {
+    public Verdict start(Fingerprint fingerprint, boolean sentAsSuspect) {
+        if (idle && !sentAsSuspect) {
             return Verdict.FREE;
         }
         synchronized (this) {
             Verdict verdict = table.verdict(fingerprint, ticker.nanos());
-            if (verdict == Verdict.FREE && !toldSuspect) {
+            if (verdict == Verdict.FREE && !sentAsSuspect) {
                 return Verdict.FREE;
             }
             if (verdict == Verdict.REFUSED || runningSuspect != null) {
@@ -105,7 +106,7 @@
         }
     }
 
-    /** A run that was started here ended with the target's answer, whatever its status: the request is harmless. */
+    /** Ends a run at this node's target that got an answer. Whatever the answer's status, the request is harmless. */
     public void onCompleted(Fingerprint fingerprint) {
         if (idle) {
             return;
@@ -121,14 +122,14 @@
         }
     }
 
-    /** A run that was started here was lost, and its target has not crashed. */
+    /** Ends a run at this node's target that was lost although the target has not crashed. */
     public void onAbandoned(LostRun run) {
         if (run.suspect()) {
             onAbandoned(run.request());
         }
     }
 
-    /** A run that was started here ended without an answer, and its target has not crashed. */
+    /** Ends a run at this node's target that got no answer although the target has not crashed. */
     public void onAbandoned(Fingerprint fingerprint) {
         if (idle) {
             return;
@@ -145,12 +146,12 @@
         }
     }
 
-    /** Cleared entries are kept and spread, and must not slow down the check of each call. */
+    /** Ignores cleared entries, which are kept and spread but must not slow down the check of each call. */
     private void updateIdle(long now) {
         idle = runningSuspect == null && !table.hasLive(now);
     }
 
-    /** As {@link #onTargetEnded} for requests of which one may run as the suspect here. */
+    /** Does the same as {@link #onTargetEnded} for requests of which one may be running as the suspect here. */
     public synchronized void onTargetCrashed(Collection<Fingerprint> inFlight) {
         onTargetEnded(inFlight.stream()
                 .map(request -> new LostRun(request, request.equals(runningSuspect)))
@@ -158,27 +159,30 @@
     }
 
     /**
-     * This node's target crashed with these runs in flight; the request of a suspect's run is refused from now on.
+     * Records that this node's target crashed with these runs in flight. The request of a suspect's run is refused from
+     * now on.
      *
-     * @return the news of it for other nodes
+     * @return the delta of the crash for other nodes
      */
     public QuarantineDelta onTargetEnded(Collection<LostRun> inFlight) {
         return onTargetLost(inFlight, true);
     }
 
     /**
-     * This node's target may have crashed with these runs in flight, and listens again.
+     * Records that this node's target may have crashed with these runs in flight, and listens again.
      *
-     * <p>Their requests are held for suspects, and refused where they ran as such, for the short time of what is not
-     * confirmed.
+     * <p>Their requests become suspects, or are refused if they ran as suspects, for the short duration of unconfirmed
+     * entries.
+     *
+     * @return the delta of the possible crash for other nodes
      */
-    public QuarantineDelta onTargetDoubtful(Collection<LostRun> inFlight) {
+    public QuarantineDelta onTargetMaybeEnded(Collection<LostRun> inFlight) {
         return onTargetLost(inFlight, false);
     }
 
     private synchronized QuarantineDelta onTargetLost(Collection<LostRun> inFlight, boolean confirmed) {
         long now = ticker.nanos();
-        long crash = crashName(self, ++crashCounter);
+        long crash = crashId(self, ++crashCounter);
         Duration length = confirmed ? settings.length() : settings.unconfirmedLength();
         long expires = now + length.toNanos();
         for (LostRun run : inFlight) {
@@ -191,22 +195,23 @@
         return QuarantineCodec.encode(table.rows(row -> row.key().crash() == crash), now);
     }
 
-    /** As {@link #onNodeLost(Fingerprint, NodeDescriptor, boolean)} for a call that was not sent as a suspect. */
+    /** Does the same as {@link #onNodeLost(Fingerprint, NodeDescriptor, boolean)} for a call not sent as a suspect. */
     public void onNodeLost(Fingerprint fingerprint, NodeDescriptor node) {
         onNodeLost(fingerprint, node, false);
     }
 
     /**
-     * The connection to a node was lost while the call was in flight there; the request may have taken the VM down.
+     * Records that the connection to a node was lost while the call was in flight there; the request may have crashed
+     * the VM.
      *
-     * <p>The suspicion is short unless {@link #onNodeFailed} confirms it. Losses of several nodes at once have a cause
-     * that the nodes share, such as their rack: they make no request suspect.
+     * <p>The suspicion is short unless {@link #onNodeFailed} confirms it. Losses of several nodes at once have a shared
+     * cause, such as a rack failure, and make no request a suspect.
      *
      * @param sentAsSuspect whether the verdict was ALONE when the call was sent
      */
     public synchronized void onNodeLost(Fingerprint fingerprint, NodeDescriptor node, boolean sentAsSuspect) {
         long now = ticker.nanos();
-        long crash = crashName(node, NODE_LOSS);
+        long crash = crashId(node, NODE_LOSS);
         losses.onLost(crash, now);
         if (losses.isMassLoss()) {
             Set<Long> crashes = losses.crashes();
@@ -219,10 +224,10 @@
         updateIdle(now);
     }
 
-    /** The node is known to have failed: what was suspected for its loss stays so for the whole time. */
+    /** Records that the node has failed: suspicions that stem from its loss now last for the full duration. */
     public synchronized void onNodeFailed(NodeDescriptor node) {
         long now = ticker.nanos();
-        long crash = crashName(node, NODE_LOSS);
+        long crash = crashId(node, NODE_LOSS);
         long expires = now + settings.length().toNanos();
         for (QuarantineTable.Row row :
                 table.rows(r -> r.key().crash() == crash && r.evidence().isLive(now))) {
@@ -231,12 +236,12 @@
         }
     }
 
-    /** The same start of the node answered again: it had not crashed. */
+    /** Records that the same incarnation of the node answered again, so it had not crashed. */
     public void onNodeAnswered(NodeDescriptor node) {
         if (idle) {
             return;
         }
-        long crash = crashName(node, NODE_LOSS);
+        long crash = crashId(node, NODE_LOSS);
         synchronized (this) {
             long now = ticker.nanos();
             if (table.knowsCrash(crash)) {
@@ -247,20 +252,22 @@
     }
 
     /**
-     * Another node told with a call's result that its target crashed while it ran the call.
+     * Records that another node reported, with a call's result, a crash of its target while the target ran the call.
      *
-     * <p>Its own news of the crash follows and lasts longer; until then the caller may send the request again.
+     * <p>That node's own delta of the crash follows and lasts longer; before it arrives, the caller may resend the
+     * request.
      *
      * @param sentAsSuspect whether the verdict was ALONE when the call was sent
      */
-    public synchronized void onTargetCrashTold(Fingerprint fingerprint, NodeDescriptor node, boolean sentAsSuspect) {
+    public synchronized void onTargetCrashReported(
+            Fingerprint fingerprint, NodeDescriptor node, boolean sentAsSuspect) {
         if (node.equals(self)) {
             return;
         }
         long now = ticker.nanos();
         long expires = now + settings.unconfirmedLength().toNanos();
         CrashEvidence evidence = new CrashEvidence(sentAsSuspect, false, false, expires);
-        add(fingerprint, crashName(node, TOLD_CRASH), evidence, now);
+        add(fingerprint, crashId(node, REPORTED_CRASH), evidence, now);
         updateIdle(now);
     }
 
@@ -274,8 +281,8 @@
         }
     }
 
-    /** Equal at all nodes that tell of the crash; {@code number} counts a node's crashes of its target. */
-    private static long crashName(NodeDescriptor node, long number) {
+    /** Returns the id of a crash, equal at all nodes; {@code number} counts the crashes of the node's target. */
+    private static long crashId(NodeDescriptor node, long number) {
         return Hashing.murmur3_128()
                 .newHasher()
                 .putString(node.id().value(), StandardCharsets.UTF_8)
@@ -286,7 +293,7 @@
                 .asLong();
     }
 
-    /** An operator frees the request, whatever it did; returns whether there was anything to free. */
+    /** Clears the live entries of the request on behalf of an operator; returns whether there were any. */
     public synchronized boolean release(String fingerprint) {
         int cleared = table.clear(row -> row.key().fingerprint().toString().equals(fingerprint), ticker.nanos());
         if (cleared > 0) {
@@ -296,30 +303,30 @@
         return cleared > 0;
     }
 
-    /** The whole table, for a peer that may have missed changes. */
+    /** Returns the whole table, for a peer that may have missed changes. */
     public synchronized QuarantineDelta export() {
         long now = ticker.nanos();
         return QuarantineCodec.encode(table.rows(row -> now < row.evidence().expiresNanos()), now);
     }
 
     /**
-     * Sets what is run at the first change after each {@link #takeChanges()}.
+     * Sets the listener that runs at the first change after each {@link #takeChanges()}.
      *
-     * <p>It is run under this object's lock and must neither block nor call back.
+     * <p>It runs under this object's lock and must neither block nor call this object.
      */
     public void onFirstChange(Runnable listener) {
         changeListener = listener;
     }
 
-    /** What changed since the last call of this method, for the peers of its services; empty when nothing did. */
+    /** Returns the changes since the last call, for the peers of their services; empty when there are none. */
     public synchronized QuarantineDelta takeChanges() {
         return QuarantineCodec.encode(table.takeChanged(), ticker.nanos());
     }
 
     /**
-     * Takes what another node told.
+     * Merges the delta of another node.
      *
-     * @throws IllegalArgumentException when an entry is malformed; then none is taken
+     * @throws IllegalArgumentException when an entry is malformed; then no entry is merged
      */
     public synchronized void merge(QuarantineDelta delta) {
         long now = ticker.nanos();
@@ -331,14 +338,14 @@
         updateIdle(now);
     }
 
-    /** Forgets what has expired; called every few seconds by a timer. */
+    /** Removes expired entries; called every few seconds by a timer. */
     public synchronized void expire() {
         long now = ticker.nanos();
         table.expire(now);
         updateIdle(now);
     }
 
-    /** Requests that do not run freely, quarantined ones first. */
+    /** Returns the requests that do not run freely, refused ones first. */
     public synchronized ImmutableList<QuarantinedRequest> snapshot() {
         long now = ticker.nanos();
         Map<Fingerprint, Integer> crashes = new HashMap<>();
--- a/src/main/java/io/beryldock/quarantine/QuarantineCodec.java
+++ b/src/main/java/io/beryldock/quarantine/QuarantineCodec.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Entries to and from their form on the wire, where times are durations. Stateless, thread safe. */
+/** Converts entries to and from their wire format, where times are durations. Stateless, thread safe. */
 final class QuarantineCodec {
 
     private QuarantineCodec() {}
@@ -35,17 +35,18 @@
     }
 
     /**
-     * Reads an entry; a time above {@code longest} is cut to it.
+     * Decodes an entry; limits its remaining time to {@code longest}.
      *
      * @throws IllegalArgumentException when the entry is malformed
      */
     static QuarantineTable.Row decode(QuarantineEntry entry, Duration longest, long now) {
         ServiceName service = ServiceName.of(entry.getService());
         String label = entry.getLabel();
-        String cut = label.length() <= Fingerprint.MAX_LABEL ? label : label.substring(0, Fingerprint.MAX_LABEL);
-        Fingerprint fingerprint = Fingerprint.of(entry.getFingerprintHigh(), entry.getFingerprintLow(), service, cut);
-        long told = TimeUnit.MILLISECONDS.toNanos(Integer.toUnsignedLong(entry.getRemainingMillis()));
-        long expires = now + Math.min(told, longest.toNanos());
+        String truncated = label.length() <= Fingerprint.MAX_LABEL ? label : label.substring(0, Fingerprint.MAX_LABEL);
+        Fingerprint fingerprint =
+                Fingerprint.of(entry.getFingerprintHigh(), entry.getFingerprintLow(), service, truncated);
+        long remaining = TimeUnit.MILLISECONDS.toNanos(Integer.toUnsignedLong(entry.getRemainingMillis()));
+        long expires = now + Math.min(remaining, longest.toNanos());
         CrashEvidence evidence =
                 new CrashEvidence(entry.getRanAlone(), entry.getConfirmed(), entry.getCleared(), expires);
         return new QuarantineTable.Row(new QuarantineTable.Key(fingerprint, entry.getCrash()), evidence);
--- a/src/main/java/io/beryldock/quarantine/QuarantineSettings.java
+++ b/src/main/java/io/beryldock/quarantine/QuarantineSettings.java
@@ -5,11 +5,13 @@
 /**
  * Settings of a {@link Quarantine}. Immutable.
  *
- * @param length how long a suspicion or a quarantine lasts
- * @param unconfirmedLength how long one lasts that rests on a lost connection, until the node is known to have failed
- * @param maxEntries largest number of entries held, each a request in flight at a crash
- * @param massLoss so many nodes lost within {@code massWindow} are a failure of what they share, not of a request
- * @param massWindow time within which losses count as one
+ * @param length how long a suspicion or a conviction lasts
+ * @param unconfirmedLength how long either lasts while it is based on a lost connection only, before the node is known
+ *     to have failed
+ * @param maxEntries largest number of entries held, each for a request in flight at a crash
+ * @param massLoss number of nodes lost within {@code massWindow} from which the losses are attributed to a failure that
+ *     the nodes share, not to a request
+ * @param massWindow time within which losses of nodes count together
  */
 public record QuarantineSettings(
         Duration length, Duration unconfirmedLength, int maxEntries, int massLoss, Duration massWindow) {
@@ -22,7 +24,7 @@
             throw new IllegalArgumentException("maxEntries must be at least 1 and massLoss at least 2");
         }
         if (unconfirmedLength.compareTo(length) > 0) {
-            throw new IllegalArgumentException("an unconfirmed entry must not outlast a confirmed one: " + length);
+            throw new IllegalArgumentException("unconfirmedLength must not exceed length: " + length);
         }
     }
 
--- a/src/main/java/io/beryldock/quarantine/QuarantineTable.java
+++ b/src/main/java/io/beryldock/quarantine/QuarantineTable.java
@@ -14,43 +14,43 @@
 import java.util.function.Predicate;
 
 /**
- * What is known of requests in flight at crashes.
+ * A bounded table of the requests in flight at crashes.
  *
- * <p>Invariant: at most the set number of entries; over it the least telling goes, and a conviction only when all
- * others are convictions too. Not thread safe.
+ * <p>Invariant: at most the configured number of entries. Above it the least significant entry is evicted, and a
+ * conviction only when all other entries are convictions too. Not thread safe.
  */
 final class QuarantineTable {
 
-    /** How long an entry is remembered after its end; far above the time that news needs to reach all nodes. */
-    static final long REMEMBERED_NANOS = Duration.ofMinutes(1).toNanos();
+    /** How long an entry is kept after its expiry; far longer than a delta needs to reach all nodes. */
+    static final long RETENTION_NANOS = Duration.ofMinutes(1).toNanos();
 
     private final int maxEntries;
     private final Runnable firstChange;
     private final Map<Fingerprint, Map<Long, CrashEvidence>> requests = new HashMap<>();
     private final Set<Key> changed = new LinkedHashSet<>();
-    private final Multiset<Long> crashNames = HashMultiset.create();
+    private final Multiset<Long> crashIds = HashMultiset.create();
     private int entries;
 
-    /** A table that tells of the first change after the start, and after each taking of the changes. */
+    /** Creates a table that reports its first change, and the first change after each {@link #takeChanged()}. */
     QuarantineTable(int maxEntries, Runnable firstChange) {
         this.maxEntries = maxEntries;
         this.firstChange = firstChange;
     }
 
-    /** An entry's request and crash. */
+    /** The key of an entry: its request and crash. */
     record Key(Fingerprint fingerprint, long crash) {}
 
     /** An entry with its key. */
     record Row(Key key, CrashEvidence evidence) {}
 
-    /** Whether any entry counts now. */
+    /** Whether any entry is live. */
     boolean hasLive(long now) {
         return requests.values().stream()
                 .anyMatch(crashes -> crashes.values().stream().anyMatch(evidence -> evidence.isLive(now)));
     }
 
     boolean knowsCrash(long crash) {
-        return crashNames.contains(crash);
+        return crashIds.contains(crash);
     }
 
     Verdict verdict(Fingerprint fingerprint, long now) {
@@ -64,7 +64,7 @@
         return verdict;
     }
 
-    /** Merges an entry; true when that changed anything. */
+    /** Merges an entry; returns whether the table changed. */
     boolean merge(Key key, CrashEvidence evidence) {
         CrashEvidence old = find(key).orElse(null);
         CrashEvidence merged = old == null ? evidence : old.merge(evidence);
@@ -75,7 +75,7 @@
         requests.computeIfAbsent(kept.fingerprint(), f -> new HashMap<>()).put(kept.crash(), merged);
         if (old == null) {
             entries++;
-            crashNames.add(kept.crash());
+            crashIds.add(kept.crash());
         }
         noteChange(kept);
         if (entries > maxEntries) {
@@ -97,14 +97,14 @@
                 requests.getOrDefault(key.fingerprint(), Map.of()).get(key.crash()));
     }
 
-    /** Clears the live entries that fit; returns how many. */
-    int clear(Predicate<Row> fits, long now) {
-        List<Row> rows = rows(row -> row.evidence().isLive(now) && fits.test(row));
+    /** Clears the live entries that match; returns their number. */
+    int clear(Predicate<Row> filter, long now) {
+        List<Row> rows = rows(row -> row.evidence().isLive(now) && filter.test(row));
         rows.forEach(row -> merge(row.key(), row.evidence().clear()));
         return rows.size();
     }
 
-    /** Clears the live entries of one request. */
+    /** Clears the live entries of one request; returns their number. */
     int clear(Fingerprint fingerprint, long now) {
         int count = 0;
         for (Map.Entry<Long, CrashEvidence> entry :
@@ -117,18 +117,18 @@
         return count;
     }
 
-    List<Row> rows(Predicate<Row> fits) {
+    List<Row> rows(Predicate<Row> filter) {
         List<Row> rows = new ArrayList<>();
         requests.forEach((fingerprint, crashes) -> crashes.forEach((crash, evidence) -> {
             Row row = new Row(new Key(fingerprint, crash), evidence);
-            if (fits.test(row)) {
+            if (filter.test(row)) {
                 rows.add(row);
             }
         }));
         return rows;
     }
 
-    /** Entries that changed since the last call and are still held. */
+    /** Returns the entries that changed since the last call and are still held. */
     List<Row> takeChanged() {
         List<Row> rows = new ArrayList<>();
         changed.forEach(key -> find(key).ifPresent(evidence -> rows.add(new Row(key, evidence))));
@@ -137,13 +137,13 @@
     }
 
     /**
-     * Forgets entries some time after their end.
+     * Removes entries some time after their expiry.
      *
-     * <p>News under way for a moment says a remaining time that is too long by that moment. A node that had forgotten
-     * the entry would take it up again, tell others, and the news would go round for ever.
+     * <p>The remaining time in a delta is too long by the delta's transit time. A node that had already removed the
+     * entry would add it again and forward it, so the entry would circulate between the nodes forever.
      */
     void expire(long now) {
-        for (Row row : rows(r -> now >= r.evidence().expiresNanos() + REMEMBERED_NANOS)) {
+        for (Row row : rows(r -> now >= r.evidence().expiresNanos() + RETENTION_NANOS)) {
             remove(row.key());
         }
     }
@@ -153,13 +153,13 @@
         crashes.remove(key.crash());
         changed.remove(key);
         entries--;
-        crashNames.remove(key.crash());
+        crashIds.remove(key.crash());
         if (crashes.isEmpty()) {
             requests.remove(key.fingerprint());
         }
     }
 
-    /** Cleared entries go first, then plain suspicions, then convictions; of each the one that ends soonest. */
+    /** Evicts cleared entries first, then suspicions, then convictions; of each kind the entry that expires first. */
     private void evict() {
         Comparator<Row> order = Comparator.<Row, Boolean>comparing(
                         row -> !row.evidence().cleared())
--- a/src/test/java/io/beryldock/forwarding/CallerAccessTest.java
+++ b/src/test/java/io/beryldock/forwarding/CallerAccessTest.java
@@ -72,12 +72,12 @@
     }
 
     /**
-     * Story: a key is taken away, and a VM that is cut off goes on serving it; another VM, just started, answers 401
-     * to a key that was given out while it could not hear of it. Neither can know: both say that the request has not
+     * Guards against a partitioned VM that keeps serving a revoked key, and against a VM, just started, that answers
+     * 401 to a key issued while it could not learn of it. A node that can't know must report that the request has not
      * run.
      */
     @Test
-    void nodeThatDoesNotKnowTheNewestConfigurationCanTellOfNoKey() {
+    void nodeWithoutTheNewestConfigurationCannotJudgeAnyKey() {
         for (Optional<Long> unknown : List.of(Optional.<Long>empty(), Optional.of(BOUND.toNanos()))) {
             age = unknown;
             for (String key : List.of("key-1", "key-2")) {
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void withoutABoundKeysCountWhateverTheAge() {
+    void withoutABoundKeysAreValidAtAnyAge() {
         CallerAccess unbounded = CallerAccess.create(Optional::empty, Optional.empty());
         assertThat(unbounded.check(TABLE, false, ImmutableList.of("key-1")).organisation())
                 .contains(GENT);
--- a/src/test/java/io/beryldock/forwarding/ReturnDetectorTest.java
+++ b/src/test/java/io/beryldock/forwarding/ClientRetryDetectorTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Story: under overload a reader is refused, waits as told, comes back and is refused again, while readers who came
- * later get their page at once: each return was drawn like a first request.
+ * Guards against starvation under overload: a caller is refused, waits as advised, retries and is refused again, while
+ * later callers are served at once, because each retry is drawn like a first request.
  */
-final class ReturnDetectorTest {
+final class ClientRetryDetectorTest {
 
     private static final Route ROUTE = new Route(
                     "/list/",
@@ -27,30 +27,30 @@
             .forHost("a.example", ImmutableList.of());
 
     private long now;
-    private final ReturnDetector detector = new ReturnDetector(() -> now);
+    private final ClientRetryDetector detector = new ClientRetryDetector(() -> now);
 
-    private boolean returns(int millis) {
+    private boolean isRetry(int millis) {
         return detector.elapsedNanos(ROUTE, Optional.of(Duration.ofMillis(millis))) > 0;
     }
 
     @Test
-    void requestWithLessTimeThanIsUsualComesBack() {
-        assertThat(returns(5000)).isFalse();
-        assertThat(returns(4700)).isTrue();
-        assertThat(returns(4990)).isFalse();
+    void requestWithLessTimeThanUsualIsARetry() {
+        assertThat(isRetry(5000)).isFalse();
+        assertThat(isRetry(4700)).isTrue();
+        assertThat(isRetry(4990)).isFalse();
     }
 
     @Test
-    void shorterTimeIsUsualOnceNobodyGivesMore() {
-        returns(5000);
+    void shorterTimeIsUsualOnceNoCallerGivesMore() {
+        isRetry(5000);
         now += Duration.ofSeconds(31).toNanos();
-        assertThat(returns(2000)).isFalse();
-        assertThat(returns(1700)).isTrue();
+        assertThat(isRetry(2000)).isFalse();
+        assertThat(isRetry(1700)).isTrue();
     }
 
     @Test
     void requestWithoutATimeIsNew() {
-        returns(5000);
+        isRetry(5000);
         assertThat(detector.elapsedNanos(ROUTE, Optional.empty())).isZero();
     }
 }
--- a/src/test/java/io/beryldock/forwarding/InnerCallDetectorTest.java
+++ b/src/test/java/io/beryldock/forwarding/InnerCallDetectorTest.java
@@ -49,7 +49,7 @@
                 .map(InnerCaller::service);
     }
 
-    private Optional<Duration> timeOfParent(int millis) {
+    private Optional<Duration> parentTimeLeft(int millis) {
         return detector.caller(route("/inner/"), Optional.of(Duration.ofMillis(millis)), Optional.empty())
                 .flatMap(InnerCaller::parent)
                 .map(parent -> Duration.ofNanos(parent.remainingNanos(now)));
@@ -72,24 +72,24 @@
         assertThat(ask("/inner/", 10)).isEmpty();
     }
 
-    /** Story: under overload inner calls of orders wait like those of pages, as nobody knows which is which. */
+    /** Guards against inner calls of orders that wait like those of pages under overload: their parent is unknown. */
     @Test
     void parentIsTheRunWhoseTimeTheCallPassesOn() {
         run(Duration.ofNanos(800_700_000));
         run(Duration.ofNanos(640_300_000));
         run(Duration.ofNanos(801_900_000));
-        assertThat(timeOfParent(800)).contains(Duration.ofNanos(800_700_000));
-        assertThat(timeOfParent(640)).contains(Duration.ofNanos(640_300_000));
+        assertThat(parentTimeLeft(800)).contains(Duration.ofNanos(800_700_000));
+        assertThat(parentTimeLeft(640)).contains(Duration.ofNanos(640_300_000));
     }
 
-    /** A call whose own limit is shorter than its parent's time says nothing of its parent. */
+    /** The time left of a call whose own limit is shorter than its parent's does not identify the parent. */
     @Test
     void callWithATimeOfItsOwnHasNoParent() {
         run(Duration.ofMillis(800));
-        assertThat(timeOfParent(700)).isEmpty();
+        assertThat(parentTimeLeft(700)).isEmpty();
     }
 
-    /** Story: a reader's second try, with little time left, is taken for an inner call and never shed. */
+    /** Guards against a caller's second try, with little time left, that is taken for an inner call and never shed. */
     @Test
     void laterRequestOnACallersRouteIsACallersWhateverTimeItHas() {
         run(Duration.ofMillis(800));
@@ -101,8 +101,8 @@
     }
 
     /**
-     * Story: a search waits behind browsing although it belongs to an order: two runs have the same time left, and its
-     * own limit is shorter than both, so that time does not tell its parent. Its id does.
+     * Guards against a search of an order that waits behind browsing: two runs have the same time left and the search's
+     * own limit is shorter than both, so time left does not identify its parent, but its id does.
      */
     @Test
     void callWhoseIdNamesARunningCallIsItsInnerCall() {
@@ -114,13 +114,13 @@
         assertThat(parent.map(execution -> execution.call().id().counter())).contains(2L);
     }
 
-    /** The name alone proves nothing: a caller may choose any id. */
+    /** An id that names a run is no proof by itself: a caller may choose any id. */
     @Test
-    void idThatNamesNoRunningCallTellsNothing() {
+    void idThatNamesNoRunningCallIsIgnored() {
         run(Duration.ofMillis(800));
         assertThat(detector.caller(route("/list/"), Optional.of(Duration.ofSeconds(5)), Optional.of("tag-9")))
                 .isEmpty();
         executions.remove(new RequestId(new Incarnation(1, 1), 1));
-        assertThat(executions.tagged("tag-1")).isEmpty();
+        assertThat(executions.findByTag("tag-1")).isEmpty();
     }
 }
--- a/src/test/java/io/beryldock/forwarding/RootAdmissionTest.java
+++ b/src/test/java/io/beryldock/forwarding/RootAdmissionTest.java
@@ -36,7 +36,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Load pattern: a service beneath is short, so that requests wait at their entry. */
+/** Load pattern: a service further down the call tree is short of capacity, so requests wait at their entry. */
 final class RootAdmissionTest {
 
     private static final ServiceName LISTS = ServiceName.of("lists");
@@ -49,9 +49,9 @@
     private boolean left;
     private CallResult result = CallResult.answered(new Answer(200, Headers.empty(), ByteString.EMPTY));
 
-    private final DoorShedder door = DoorShedder.create(timers.ticker(), new Random(1), EventSink.none());
-    private final RootAdmission admission = RootAdmission.create(
-            new RootAdmission.Ports(Policy.FULL, door, new ShortCredits(), new OneWaits(), timers.ticker()));
+    private final DoorShedder shedder = DoorShedder.create(timers.ticker(), new Random(1), EventSink.none());
+    private final RootAdmission admission = RootAdmission.create(new RootAdmission.Ports(
+            Policy.FULL, shedder, new AlwaysGoverningCredits(), new SingleWaitAdmission(), timers.ticker()));
 
     private CompletableFuture<CallResult> start(CancelScope scope) {
         RequestId id = RequestIds.of(Incarnation.random(new Random(1))).next();
@@ -76,9 +76,9 @@
         });
     }
 
-    /** Guards against trees that run on beneath after their caller has left: the wait is part of its time. */
+    /** Guards against call trees that run after their caller has left: the wait is part of the caller's time. */
     @Test
-    void theWaitIsTakenOffTheTimeBeneath() {
+    void theWaitIsSubtractedFromTheTimeOfTheTree() {
         CompletableFuture<CallResult> ended = start(CancelScope.create());
         timers.advance(Duration.ofMillis(1_500));
         decision.complete(EntryDecision.covered());
@@ -89,12 +89,12 @@
         assertThat(ended).isCompletedWithValue(result);
     }
 
-    /** Guards against all that wait starting at once, unchecked, when the home of a short service is lost. */
+    /** Guards against all waiting requests starting at once, unchecked, when a short service's home node is lost. */
     @Test
-    void whatIsNoLongerGovernedMeetsTheLevels() {
-        door.observe(LISTS, 1, ImmutableList.of(new ServiceLevel(LISTS, 0)));
+    void aRequestThatCreditsNoLongerGovernIsDecidedByLevels() {
+        shedder.observe(LISTS, 1, ImmutableList.of(new ServiceLevel(LISTS, 0)));
         for (int i = 0; i < 7; i++) {
-            door.observe(LISTS, 1, ImmutableList.of(new ServiceLevel(LISTS, 0)));
+            shedder.observe(LISTS, 1, ImmutableList.of(new ServiceLevel(LISTS, 0)));
         }
         CompletableFuture<CallResult> ended = start(CancelScope.create());
         decision.complete(EntryDecision.notGoverned());
@@ -102,7 +102,7 @@
         assertThat(ended.join().reason()).contains(Reason.SHED_AT_DOOR);
     }
 
-    /** Guards against credits that are lost with requests that a gate turned away. */
+    /** Guards against credits that are lost with requests that a gate refused. */
     @Test
     void creditsOfATreeThatDidNotRunAreGivenBack() {
         result = CallResult.notRun(Reason.SHED_AT_TARGET, "");
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void aRefusedRequestDoesNotRunAndIsToldWhenToComeBack() {
+    void aRefusedRequestDoesNotRunAndGetsARetryAfter() {
         CompletableFuture<CallResult> ended = start(CancelScope.create());
         decision.complete(EntryDecision.refused(700));
         assertThat(dispatched).isEmpty();
@@ -120,7 +120,7 @@
         assertThat(ended.join().retryAfterMillis()).isEqualTo(700);
     }
 
-    /** Guards against places that are held for callers who have gone. */
+    /** Guards against queue places that are held for callers who have gone. */
     @Test
     void aCallerThatLeavesFreesItsPlace() {
         CancelScope scope = CancelScope.create();
@@ -129,8 +129,8 @@
         assertThat(left).isTrue();
     }
 
-    /** Lets one request wait for the decision of the test. */
-    private final class OneWaits implements EntryAdmission {
+    /** Makes one request wait for the decision of the test. */
+    private final class SingleWaitAdmission implements EntryAdmission {
 
         @Override
         public Pending admit(WaitingRequest request) {
@@ -152,7 +152,7 @@
     }
 
     /** Credits of a service that is always short. */
-    private final class ShortCredits extends NoCredits {
+    private final class AlwaysGoverningCredits extends NoCredits {
 
         @Override
         public boolean governs(TreeKey tree) {
--- a/src/test/java/io/beryldock/forwarding/TargetCrashDetectorTest.java
+++ b/src/test/java/io/beryldock/forwarding/TargetCrashDetectorTest.java
@@ -19,11 +19,11 @@
     private final ManualTimerService time = ManualTimerService.create();
     private final Quarantine quarantine = TargetFixtures.quarantine(time);
     private final AnnouncedTarget target = TargetFixtures.target(time);
-    private CompletableFuture<LifeSign> sign = new CompletableFuture<>();
-    private final TargetLife life = lostAtNanos -> sign;
-    private final CompletableFuture<Void> told = new CompletableFuture<>();
-    private final TargetCrashDetector detector =
-            TargetCrashDetector.create(address -> life, quarantine, (service, news) -> told, time, EventSink.none());
+    private CompletableFuture<LifeSign> state = new CompletableFuture<>();
+    private final TargetLife process = lostAtNanos -> state;
+    private final CompletableFuture<Void> notified = new CompletableFuture<>();
+    private final TargetCrashDetector detector = TargetCrashDetector.create(
+            address -> process, quarantine, (service, delta) -> notified, time, EventSink.none());
 
     private static Fingerprint request(String path) {
         return Fingerprint.of(TargetFixtures.read(path, LONGEST_DECISION));
@@ -34,26 +34,26 @@
     }
 
     private CompletableFuture<LifeSign> lose(String path, boolean suspect) {
-        return detector.onLost(target, detector.lifeOf(TargetFixtures.ADDRESS), new LostRun(request(path), suspect));
+        return detector.onLost(target, detector.processOf(TargetFixtures.ADDRESS), new LostRun(request(path), suspect));
     }
 
-    /** Guards against a caller who is faster than the news: his next node must know of the crash before he does. */
+    /** Guards against a caller who retries before the crash is known: the next node must learn of the crash first. */
     @Test
-    void aCrashIsToldToTheNodesOfTheServiceFirst() {
+    void theNodesOfTheServiceAreNotifiedOfACrashFirst() {
         CompletableFuture<LifeSign> decided = lose("/lists/poison");
-        sign.complete(LifeSign.ENDED);
+        state.complete(LifeSign.ENDED);
         time.advance(Duration.ofMillis(30));
         assertThat(verdict("/lists/poison")).isEqualTo(Verdict.ALONE);
         assertThat(decided).isNotDone();
-        told.complete(null);
+        notified.complete(null);
         assertThat(decided).isCompletedWithValue(LifeSign.ENDED);
     }
 
-    /** Guards against a caller who waits for ever: a node may never take the news. */
+    /** Guards against a caller who waits forever: a node may never acknowledge the notification. */
     @Test
-    void newsThatNobodyTakesAreWaitedForInTime() {
+    void theWaitForNotificationsIsBounded() {
         CompletableFuture<LifeSign> decided = lose("/lists/poison");
-        sign.complete(LifeSign.ENDED);
+        state.complete(LifeSign.ENDED);
         time.advance(LONGEST_DECISION);
         assertThat(decided).isCompletedWithValue(LifeSign.ENDED);
     }
@@ -63,10 +63,10 @@
     }
 
     @Test
-    void requestsInFlightAtTheEndOfALifeAreSuspects() {
+    void requestsInFlightAtTheEndOfAProcessAreSuspects() {
         CompletableFuture<LifeSign> decided = lose("/lists/poison");
         lose("/lists/1");
-        sign.complete(LifeSign.ENDED);
+        state.complete(LifeSign.ENDED);
         time.advance(LONGEST_DECISION);
         assertThat(decided).isCompleted();
         assertThat(verdict("/lists/poison")).isEqualTo(Verdict.ALONE);
@@ -76,38 +76,38 @@
     @Test
     void aLostConnectionMakesNoSuspect() {
         CompletableFuture<LifeSign> decided = lose("/lists/1");
-        sign.complete(LifeSign.GOES_ON);
+        state.complete(LifeSign.GOES_ON);
         time.advance(LONGEST_DECISION);
         assertThat(decided).isCompleted();
         assertThat(verdict("/lists/1")).isEqualTo(Verdict.FREE);
     }
 
-    /** Guards against a caller who waits for ever: a target may neither accept nor refuse a connection. */
+    /** Guards against a caller who waits forever: a target may neither accept nor refuse a connection. */
     @Test
-    void aLookWithoutEndIsDecidedInTime() {
+    void aProcessCheckWithoutEndIsDecidedInTime() {
         CompletableFuture<LifeSign> decided = lose("/lists/poison");
         time.advance(LONGEST_DECISION);
         assertThat(decided).isCompleted();
         assertThat(verdict("/lists/poison")).isEqualTo(Verdict.ALONE);
-        sign.complete(LifeSign.ENDED);
+        state.complete(LifeSign.ENDED);
         assertThat(quarantine.snapshot())
                 .singleElement()
                 .satisfies(request -> assertThat(request.crashes()).isEqualTo(1));
     }
 
-    /** Guards against a caller who waits for ever: the look itself may fail. */
+    /** Guards against a caller who waits forever: the process check itself may fail. */
     @Test
-    void aLookThatFailsIsDecided() {
+    void aProcessCheckThatFailsIsDecided() {
         CompletableFuture<LifeSign> decided = lose("/lists/1");
-        sign.completeExceptionally(new IllegalStateException("no look"));
+        state.completeExceptionally(new IllegalStateException("process check failed"));
         time.advance(LONGEST_DECISION);
         assertThat(decided).isCompleted();
     }
 
-    /** Guards against a refused start page: a loss that is noticed late is not that of the run which tries it out. */
+    /** Guards against a refused start page: a loss that is noticed late is not the loss of the suspect's run. */
     @Test
-    void aLossThatIsNoticedLateConvictsNobody() {
-        sign = CompletableFuture.completedFuture(LifeSign.ENDED);
+    void aLossThatIsNoticedLateConvictsNoRequest() {
+        state = CompletableFuture.completedFuture(LifeSign.ENDED);
         lose("/lists/start");
         time.advance(LONGEST_DECISION);
         assertThat(quarantine.start(request("/lists/start"), false)).isEqualTo(Verdict.ALONE);
@@ -118,11 +118,11 @@
         assertThat(verdict("/lists/start")).isEqualTo(Verdict.FREE);
     }
 
-    /** Guards against a verdict that stays: what is not confirmed must not refuse or slow a request for long. */
+    /** Guards against a lasting verdict: an unconfirmed crash must not refuse or delay a request for long. */
     @Test
-    void aDoubtfulEndIsForgottenSoon() {
+    void anUnconfirmedEndExpiresSoon() {
         CompletableFuture<LifeSign> decided = lose("/lists/1");
-        sign.complete(LifeSign.UNKNOWN);
+        state.complete(LifeSign.UNKNOWN);
         time.advance(LONGEST_DECISION);
         assertThat(decided).isCompleted();
         assertThat(verdict("/lists/1")).isEqualTo(Verdict.ALONE);
@@ -130,13 +130,13 @@
         assertThat(verdict("/lists/1")).isEqualTo(Verdict.FREE);
     }
 
-    /** Guards against a request that is never refused as its target listens again before anybody looks. */
+    /** Guards against a request that is never refused because its target listens again before the process check. */
     @Test
-    void theSecondLifeThatASuspectEndsConvictsIt() {
+    void theSecondProcessThatASuspectEndsConvictsIt() {
         for (int crash = 0; crash < 2; crash++) {
             Verdict verdict = quarantine.start(request("/lists/poison"), false);
             assertThat(verdict).isEqualTo(crash == 0 ? Verdict.FREE : Verdict.ALONE);
-            sign = CompletableFuture.completedFuture(LifeSign.ENDED);
+            state = CompletableFuture.completedFuture(LifeSign.ENDED);
             lose("/lists/poison", verdict == Verdict.ALONE);
             time.advance(LONGEST_DECISION);
         }
--- a/src/test/java/io/beryldock/forwarding/TargetExecutorTest.java
+++ b/src/test/java/io/beryldock/forwarding/TargetExecutorTest.java
@@ -31,11 +31,11 @@
     private final Quarantine quarantine = TargetFixtures.quarantine(time);
     private final AnnouncedTarget target = TargetFixtures.target(time);
     private final Deque<CompletableFuture<TargetReply>> sent = new ArrayDeque<>();
-    private final LifeSign sign = LifeSign.ENDED;
+    private final LifeSign state = LifeSign.ENDED;
     private final TargetCrashDetector crashes = TargetCrashDetector.create(
-            address -> lostAtNanos -> CompletableFuture.completedFuture(sign),
+            address -> lostAtNanos -> CompletableFuture.completedFuture(state),
             quarantine,
-            (service, news) -> CompletableFuture.completedFuture(null),
+            (service, delta) -> CompletableFuture.completedFuture(null),
             time,
             EventSink.none());
     private final TargetExecutor executor = TargetExecutor.create(new TargetExecutor.Ports(
@@ -88,9 +88,9 @@
         assertThat(sent).isEmpty();
     }
 
-    /** Guards against a crash that is not held against a request whose caller, or the link to him, had gone before. */
+    /** Guards against a crash that is not attributed to a request because its caller or the link to it had gone. */
     @Test
-    void aCrashCountsThoughTheCallerHasGone() {
+    void aCrashCountsAfterTheCallerHasGone() {
         for (int crash = 0; crash < 2; crash++) {
             CancelScope scope = CancelScope.create();
             CompletableFuture<CallResult> result = run(POISON, scope);
@@ -102,7 +102,7 @@
         assertThat(reason(run(POISON))).contains(Reason.QUARANTINED);
     }
 
-    /** Guards against suspects made by this node's own haste: it closed the connection itself. */
+    /** Guards against suspects from exchanges whose connection this node closed itself. */
     @Test
     void anExchangeThatTheNodeGaveUpIsNoCrash() {
         for (int i = 0; i < 2; i++) {
@@ -116,9 +116,9 @@
         answer();
     }
 
-    /** Guards against a caller who is faster than the decision: his second run must be known for a suspect's. */
+    /** Guards against a caller who retries before the decision: the second run must be known as a suspect's. */
     @Test
-    void aRequestThatComesAgainAtOnceWaitsForTheDecision() {
+    void aRequestThatIsResentAtOnceWaitsForTheDecision() {
         run(POISON);
         lose();
         CompletableFuture<CallResult> second = run(POISON);
@@ -134,7 +134,7 @@
         assertThat(reason(run(POISON))).contains(Reason.QUARANTINED);
     }
 
-    /** Guards against a run that is begun for nobody, and against a caller who is told UNKNOWN of what never ran. */
+    /** Guards against a run that no one waits for, and against UNKNOWN as the result of a request that never ran. */
     @Test
     void aRequestThatIsGivenUpBeforeTheDecisionNeverRuns() {
         run(POISON);
--- a/src/test/java/io/beryldock/quarantine/QuarantineMergePropertyTest.java
+++ b/src/test/java/io/beryldock/quarantine/QuarantineMergePropertyTest.java
@@ -15,8 +15,8 @@
 import net.jqwik.api.Property;
 
 /**
- * Nodes tell each other of suspects over links that reorder, repeat and lose messages. If two nodes came to different
- * ends from the same news, a request refused at one would crash the target of the other.
+ * Nodes exchange deltas of suspects over links that reorder, repeat and lose messages. If two nodes came to different
+ * verdicts from the same deltas, a request refused at one node would crash the target of the other.
  */
 class QuarantineMergePropertyTest {
 
@@ -36,37 +36,37 @@
         }
     }
 
-    private static Fingerprint any(Random random) {
+    private static Fingerprint anyRequest(Random random) {
         return REQUESTS.get(random.nextInt(REQUESTS.size()));
     }
 
-    private List<QuarantineDelta> randomNews(Random random) {
-        List<QuarantineDelta> news = new ArrayList<>();
+    private List<QuarantineDelta> randomDeltas(Random random) {
+        List<QuarantineDelta> deltas = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             Quarantine node = nodes.get(random.nextInt(NODES));
-            Fingerprint request = any(random);
+            Fingerprint request = anyRequest(random);
             switch (random.nextInt(6)) {
-                case 0 -> node.onTargetCrashed(List.of(request, any(random)));
+                case 0 -> node.onTargetCrashed(List.of(request, anyRequest(random)));
                 case 1 -> node.onStarted(request);
                 case 2 -> node.onCompleted(request);
                 case 3 -> node.onNodeLost(request, QuarantineTest.node("x" + random.nextInt(2)), random.nextBoolean());
                 case 4 -> node.onNodeFailed(QuarantineTest.node("x" + random.nextInt(2)));
                 default -> node.merge(nodes.get(random.nextInt(NODES)).export());
             }
-            news.add(node.takeChanges());
+            deltas.add(node.takeChanges());
         }
-        nodes.forEach(node -> news.add(node.export()));
-        return news;
+        nodes.forEach(node -> deltas.add(node.export()));
+        return deltas;
     }
 
     @Property(tries = 500)
-    void nodesThatHeardTheSameAgree(@ForAll long seed) {
+    void nodesWithTheSameDeltasAgree(@ForAll long seed) {
         create();
         Random random = new Random(seed);
-        List<QuarantineDelta> news = randomNews(random);
+        List<QuarantineDelta> deltas = randomDeltas(random);
         for (Quarantine node : nodes) {
-            List<QuarantineDelta> order = new ArrayList<>(news);
-            order.addAll(news.subList(0, news.size() / 2));
+            List<QuarantineDelta> order = new ArrayList<>(deltas);
+            order.addAll(deltas.subList(0, deltas.size() / 2));
             Collections.shuffle(order, random);
             order.forEach(node::merge);
         }
@@ -78,20 +78,20 @@
         assertThat(nodes).allMatch(node -> node.snapshot().equals(nodes.get(0).snapshot()));
     }
 
-    /** Passing news to and fro takes time; it must not keep an entry alive beyond its length. */
+    /** Guards against entries that outlive their duration because nodes pass deltas back and forth with a delay. */
     @Property(tries = 50)
     void echoesDoNotProlongAnEntry(@ForAll long seed) {
         create();
         Random random = new Random(seed);
         nodes.get(0).onTargetCrashed(List.of(REQUESTS.get(0)));
-        QuarantineDelta underWay = nodes.get(0).export();
+        QuarantineDelta inTransit = nodes.get(0).export();
         Duration bound = QuarantineSettings.defaults().length().plusSeconds(5);
         long end = time.ticker().nanos() + bound.toNanos();
         while (time.ticker().nanos() < end) {
             time.advance(Duration.ofMillis(500 + random.nextInt(500)));
             Quarantine node = nodes.get(random.nextInt(NODES));
-            node.merge(underWay);
-            underWay = node.export();
+            node.merge(inTransit);
+            inTransit = node.export();
             nodes.forEach(Quarantine::expire);
         }
         assertThat(nodes).allMatch(node -> node.verdict(REQUESTS.get(0)) == Verdict.FREE);
--- a/src/test/java/io/beryldock/quarantine/QuarantineTest.java
+++ b/src/test/java/io/beryldock/quarantine/QuarantineTest.java
@@ -72,29 +72,29 @@
     }
 
     /**
-     * A student opens a list entry whose data makes holdings run out of memory. The target dies, the browser sends the
-     * request again, the next target dies, and so on until the service is gone.
+     * Guards against a request whose data makes the target run out of memory: the target crashes, the browser resends
+     * the request, the next target crashes, and so on until no target of the service is left.
      */
     @Test
     void aCrashingRequestTakesDownTwoTargetsAtMost() {
         assertThat(first.onStarted(CRASHER)).isTrue();
         first.onTargetCrashed(List.of(CRASHER, HARMLESS));
         spread();
-        Fingerprint sentAgain = request("GET", "/holdings/bad");
-        assertThat(second.verdict(sentAgain)).isEqualTo(Verdict.ALONE);
-        assertThat(second.onStarted(sentAgain)).isTrue();
-        second.onTargetCrashed(List.of(sentAgain));
+        Fingerprint resent = request("GET", "/holdings/bad");
+        assertThat(second.verdict(resent)).isEqualTo(Verdict.ALONE);
+        assertThat(second.onStarted(resent)).isTrue();
+        second.onTargetCrashed(List.of(resent));
         spread();
         for (Quarantine node : List.of(first, second, third)) {
-            assertThat(node.verdict(sentAgain)).isEqualTo(Verdict.REFUSED);
-            assertThat(node.onStarted(sentAgain)).isFalse();
+            assertThat(node.verdict(resent)).isEqualTo(Verdict.REFUSED);
+            assertThat(node.onStarted(resent)).isFalse();
         }
         assertThat(third.verdict(HARMLESS)).isEqualTo(Verdict.ALONE);
     }
 
-    /** Others were in flight at the crash by chance: they must not stay slow or be refused. */
+    /** Requests that were in flight at the crash by chance must neither stay slow nor be refused. */
     @Test
-    void harmlessOnesAreFreedEverywhereOnceTheyComplete() {
+    void harmlessRequestsAreClearedAtAllNodesOnceTheyComplete() {
         first.onTargetCrashed(List.of(CRASHER, HARMLESS));
         spread();
         assertThat(second.onStarted(HARMLESS)).isTrue();
@@ -111,8 +111,8 @@
     }
 
     /**
-     * Two targets are killed in the same second, and every student's start page is in flight at both. Refusing the page
-     * for a quarter of an hour would be worse than the crash.
+     * Two targets are killed in the same second with a popular start page in flight at both. Refusing the page for a
+     * quarter of an hour would be worse than the crash.
      */
     @Test
     void aPopularRequestAtTwoCrashesAtOnceIsNotRefused() {
@@ -128,7 +128,7 @@
         assertThat(first.verdict(HARMLESS)).isEqualTo(Verdict.FREE);
     }
 
-    /** A call ended without an answer and nothing else: its slot must go to the next suspect. */
+    /** A call ended without an answer and without a crash: its slot must go to the next suspect. */
     @Test
     void anAbandonedRunFreesTheSlotOnly() {
         first.onTargetCrashed(List.of(CRASHER, HARMLESS));
@@ -139,11 +139,11 @@
     }
 
     /**
-     * A request takes a whole VM down, node and target. Only the node that sent it sees its connection end; nobody is
-     * left there to tell.
+     * A request crashes a whole VM, node and target. Only the node that sent the request notices, by its lost
+     * connection; the crashed node can't report anything.
      */
     @Test
-    void aRequestThatTakesNodesDownIsRefusedToo() {
+    void aRequestThatCrashesNodesIsRefusedToo() {
         first.onNodeLost(CRASHER, node("x"));
         assertThat(first.verdict(CRASHER)).isEqualTo(Verdict.ALONE);
         time.advance(Duration.ofSeconds(12));
@@ -157,7 +157,7 @@
         assertThat(second.verdict(CRASHER)).isEqualTo(Verdict.FREE);
     }
 
-    /** A connection went silent, its calls ended UNKNOWN, and the node lives: nothing has crashed. */
+    /** A connection stalled and its calls ended UNKNOWN, but the node is alive: nothing has crashed. */
     @Test
     void aNodeThatAnswersAgainClearsTheSuspicion() {
         first.onNodeLost(HARMLESS, node("x"));
@@ -171,7 +171,7 @@
         assertThat(first.verdict(CRASHER)).as("never confirmed").isEqualTo(Verdict.FREE);
     }
 
-    /** A rack loses power. All its nodes go at once, with harmless requests in flight and sent again meanwhile. */
+    /** A rack loses power: all its nodes fail at once, with harmless requests in flight that are resent meanwhile. */
     @Test
     void aRackFailureMakesNothingSuspect() {
         first.onNodeLost(HARMLESS, node("x"));
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void anOperatorCanSeeAndReleaseIt() {
+    void anOperatorCanSeeAndReleaseARequest() {
         first.onTargetCrashed(List.of(CRASHER));
         first.onStarted(CRASHER);
         first.onTargetCrashed(List.of(CRASHER));
@@ -217,22 +217,22 @@
         assertThat(first.takeChanges().getEntriesCount()).isZero();
     }
 
-    /** Guards against news that is never spread: the first change after each taking is told, whoever it is from. */
+    /** Guards against changes that are never spread: the first change after each take is reported, from any source. */
     @Test
-    void tellsOfTheFirstChangeAfterEachTaking() {
-        AtomicInteger told = new AtomicInteger();
-        first.onFirstChange(told::incrementAndGet);
+    void reportsTheFirstChangeAfterEachTake() {
+        AtomicInteger notifications = new AtomicInteger();
+        first.onFirstChange(notifications::incrementAndGet);
         first.onTargetCrashed(List.of(CRASHER, HARMLESS));
-        assertThat(told).hasValue(1);
+        assertThat(notifications).hasValue(1);
         first.takeChanges();
-        assertThat(told).hasValue(1);
+        assertThat(notifications).hasValue(1);
         second.onTargetCrashed(List.of(CRASHER));
         first.merge(second.takeChanges());
-        assertThat(told).hasValue(2);
+        assertThat(notifications).hasValue(2);
         assertThat(first.takeChanges().getEntriesCount()).isPositive();
     }
 
-    /** Suspects travel on the links that share 3 KB/s a node with all other control. */
+    /** Deltas of suspects share a limit of 3 KB/s per node with all other control traffic. */
     @Test
     void aSuspectCostsFewBytes() {
         first.onTargetCrashed(List.of(request("GET", "/holdings/isbn-9789038926512")));
