--- a/src/main/java/io/beryldock/share/Division.java
+++ b/src/main/java/io/beryldock/share/Division.java
@@ -3,14 +3,14 @@
 import com.google.common.collect.ImmutableList;
 import java.util.List;
 
-/** A way to divide an amount among claims. */
+/** Rule that divides an amount among claims. */
 @FunctionalInterface
 public interface Division<K> {
 
     /**
-     * The part of each claim, in the order of the claims.
+     * Returns the part of each claim, in the order of the claims.
      *
-     * <p>No part is above what its claim wants, and their sum is not above the amount.
+     * <p>No part exceeds the amount that its claim wants, and the sum of the parts does not exceed the divided amount.
      */
     ImmutableList<Double> divide(double amount, List<Claim<K>> claims);
 }
--- a/src/main/java/io/beryldock/share/FairDivision.java
+++ b/src/main/java/io/beryldock/share/FairDivision.java
@@ -9,20 +9,22 @@
 import java.util.TreeMap;
 
 /**
- * Divides by rank and, within a rank, by weighted max-min: whoever wants less than its even part gets all it wants, and
- * what it leaves goes to the others in even parts.
+ * Divides by rank and, within a rank, by weighted max-min fairness: a claim below its even part gets all that it wants,
+ * and the remainder is divided evenly among the others.
  *
- * <p>Answers the load at which some ask for many times their usual: beyond its even part a claim gains nothing by being
- * larger. No rank starves: each gets at least {@link #LEAST_SHARE} of the share that all claims together can get.
- * Nothing is left over while a claim is unmet, and the order of the claims does not matter. Stateless, thread safe.
+ * <p>Protects against claimants that want many times their usual amount: above its even part, a claim gains nothing by
+ * being larger. No rank starves: each gets at least {@link #MIN_SHARE} of the share that all claims together can get.
+ * Nothing is left over while a claim is not met in full, and the order of the claims has no effect. Stateless, thread
+ * safe.
  */
 public final class FairDivision<K> implements Division<K> {
 
     /**
-     * Part of the share of all that each rank gets at least. Below it the callers of the lowest ranks see nothing but
-     * refusals for as long as the shortage lasts; at 1 ranks would mean nothing.
+     * Minimum share of each rank, relative to the share that all claims together can get. With a smaller value, callers
+     * of the lowest ranks would receive nothing but refusals while a shortage lasts; with 1, ranks would have no
+     * effect.
      */
-    static final double LEAST_SHARE = 0.4;
+    static final double MIN_SHARE = 0.4;
 
     private FairDivision() {}
 
@@ -40,15 +42,15 @@
         if (amount <= 0 || wanted <= 0) {
             return ImmutableList.copyOf(parts);
         }
-        double least = LEAST_SHARE * Math.min(1, amount / wanted);
+        double least = MIN_SHARE * Math.min(1, amount / wanted);
         double left = amount;
-        double wantedAfter = wanted;
+        double wantedByLaterRanks = wanted;
         for (List<Integer> members : ranks.values()) {
-            double wantedHere = wanted(claims, members);
-            wantedAfter = Math.max(0, wantedAfter - wantedHere);
-            double given = Math.max(0, Math.min(wantedHere, left - least * wantedAfter));
-            fill(given, claims, members, parts);
-            left -= given;
+            double wantedByRank = wanted(claims, members);
+            wantedByLaterRanks = Math.max(0, wantedByLaterRanks - wantedByRank);
+            double granted = Math.max(0, Math.min(wantedByRank, left - least * wantedByLaterRanks));
+            waterFill(granted, claims, members, parts);
+            left -= granted;
         }
         return ImmutableList.copyOf(parts);
     }
@@ -66,14 +68,14 @@
         return members.stream().mapToDouble(i -> claims.get(i).wanted()).sum();
     }
 
-    /** Water filling: from the claim that wants least by weight to the one that wants most. */
-    private static <K> void fill(double amount, List<Claim<K>> claims, List<Integer> members, Double[] parts) {
-        List<Integer> rising = new ArrayList<>(members);
-        rising.sort(Comparator.comparingDouble(i -> level(claims.get(i))));
+    /** Water filling: serves claims in ascending order of their wanted amount per weight. */
+    private static <K> void waterFill(double amount, List<Claim<K>> claims, List<Integer> members, Double[] parts) {
+        List<Integer> ascending = new ArrayList<>(members);
+        ascending.sort(Comparator.comparingDouble(i -> wantedPerWeight(claims.get(i))));
         double left = amount;
         double weights =
                 members.stream().mapToDouble(i -> claims.get(i).weight()).sum();
-        for (int i : rising) {
+        for (int i : ascending) {
             Claim<K> claim = claims.get(i);
             double even = claim.weight() >= weights ? left : left * claim.weight() / weights;
             parts[i] = Math.min(claim.wanted(), even);
@@ -82,7 +84,7 @@
         }
     }
 
-    private static <K> double level(Claim<K> claim) {
+    private static <K> double wantedPerWeight(Claim<K> claim) {
         return claim.wanted() / claim.weight();
     }
 }
--- a/src/main/java/io/beryldock/share/package-info.java
+++ b/src/main/java/io/beryldock/share/package-info.java
@@ -1,2 +1,2 @@
-/** How what is scarce is divided among those who compete for it. Pure decisions, without state or time. */
+/** Rules that divide a scarce resource among competing claims. Pure functions, without state or time. */
 package io.beryldock.share;
--- a/src/test/java/io/beryldock/share/FairDivisionTest.java
+++ b/src/test/java/io/beryldock/share/FairDivisionTest.java
@@ -14,7 +14,7 @@
 
 class FairDivisionTest {
 
-    private static final double CLOSE = 1e-6;
+    private static final double TOLERANCE = 1e-6;
     private static final int RANKS = 4;
 
     private final Division<String> division = FairDivision.create();
@@ -29,7 +29,7 @@
         for (int i = 0; i < count; i++) {
             assertThat(parts.get(i)).isBetween(0.0, claims.get(i).wanted());
         }
-        assertThat(sum(parts)).isLessThanOrEqualTo(amount + CLOSE);
+        assertThat(sum(parts)).isLessThanOrEqualTo(amount + TOLERANCE);
     }
 
     @Property(tries = 2000)
@@ -38,7 +38,7 @@
         List<Claim<String>> claims = claims(random, count);
         double amount = amount(random, claims);
         double wanted = claims.stream().mapToDouble(Claim::wanted).sum();
-        assertThat(sum(division.divide(amount, claims))).isCloseTo(Math.min(amount, wanted), within(CLOSE));
+        assertThat(sum(division.divide(amount, claims))).isCloseTo(Math.min(amount, wanted), within(TOLERANCE));
     }
 
     @Property(tries = 1000)
@@ -51,13 +51,13 @@
         List<Double> parts = division.divide(amount, claims);
         List<Double> others = division.divide(amount, shuffled);
         for (int i = 0; i < count; i++) {
-            assertThat(others.get(shuffled.indexOf(claims.get(i)))).isCloseTo(parts.get(i), within(CLOSE));
+            assertThat(others.get(shuffled.indexOf(claims.get(i)))).isCloseTo(parts.get(i), within(TOLERANCE));
         }
     }
 
-    /** Guards against a rank that gets nothing for as long as those before it want all. */
+    /** Guards against a rank that gets nothing as long as more important ranks want everything. */
     @Property(tries = 1000)
-    void eachRankGetsItsLeastShare(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int count) {
+    void eachRankGetsItsMinimumShare(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int count) {
         Random random = new Random(seed);
         List<Claim<String>> claims = claims(random, count);
         double amount = amount(random, claims);
@@ -65,20 +65,23 @@
         double wanted = claims.stream().mapToDouble(Claim::wanted).sum();
         double share = wanted == 0 ? 0 : Math.min(1, amount / wanted);
         for (int rank = 0; rank < RANKS; rank++) {
-            double wantedHere = 0;
-            double given = 0;
+            double wantedByRank = 0;
+            double granted = 0;
             for (int i = 0; i < count; i++) {
-                boolean here = claims.get(i).rank() == rank;
-                wantedHere += here ? claims.get(i).wanted() : 0;
-                given += here ? parts.get(i) : 0;
+                boolean inRank = claims.get(i).rank() == rank;
+                wantedByRank += inRank ? claims.get(i).wanted() : 0;
+                granted += inRank ? parts.get(i) : 0;
             }
-            assertThat(given).isGreaterThanOrEqualTo(FairDivision.LEAST_SHARE * share * wantedHere - CLOSE);
+            assertThat(granted).isGreaterThanOrEqualTo(FairDivision.MIN_SHARE * share * wantedByRank - TOLERANCE);
         }
     }
 
-    /** Guards against an organisation that sends seven times its usual and takes from those that send theirs. */
+    /**
+     * Guards against an organisation that wants seven times its usual amount at the expense of others that want their
+     * usual amounts.
+     */
     @Property(tries = 1000)
-    void oneThatAsksForSevenTimesItsUsualTakesNothingFromThoseBelowTheirEvenPart(
+    void claimOfSevenTimesTheUsualDoesNotReduceClaimsBelowTheirEvenPart(
             @ForAll long seed, @ForAll @IntRange(min = 2, max = 40) int count) {
         Random random = new Random(seed);
         List<Claim<String>> usual = new ArrayList<>();
@@ -92,13 +95,13 @@
         List<Double> after = division.divide(amount, greedy);
         for (int i = 1; i < count; i++) {
             if (usual.get(i).wanted() <= amount / count) {
-                assertThat(after.get(i)).isCloseTo(before.get(i), within(CLOSE));
+                assertThat(after.get(i)).isCloseTo(before.get(i), within(TOLERANCE));
             }
         }
     }
 
     @Example
-    void ranksGoInOrderAboveTheLeastShares() {
+    void ranksAreServedInOrderAboveTheMinimumShares() {
         List<Claim<String>> claims = List.of(
                 new Claim<>("browse", 3, 1, 100), new Claim<>("order", 0, 1, 60), new Claim<>("read", 1, 1, 40));
         assertThat(division.divide(100, claims)).containsExactly(20.0, 60.0, 20.0);
