--- a/src/main/java/io/beryldock/quota/QuotaHome.java
+++ b/src/main/java/io/beryldock/quota/QuotaHome.java
@@ -6,18 +6,21 @@
 import java.util.Map;
 
 /**
- * The buckets of the organisations whose home in its data centre this node is.
+ * Token buckets of the organisations whose home node in its data centre this node is.
  *
- * <p>Invariant: over all data centres, tokens are made no faster than {@link QuotaTerms} say, and moved between them,
- * never copied. Not thread safe.
+ * <p>Invariant: over all data centres, tokens are produced no faster than {@link QuotaTerms} allow, and they are moved
+ * between data centres, never copied. Not thread safe.
  */
 final class QuotaHome {
 
-    /** Part of what is there that one question can take: the others that ask at the same time get some too. */
-    private static final int SHARES = 4;
+    /**
+     * Divisor of the available tokens that limits one grant, so that other nodes that ask at the same time get some
+     * too.
+     */
+    private static final int GRANT_DIVISOR = 4;
 
-    /** Part of its capacity that a home keeps for its own data centre when another asks. */
-    private static final double KEPT_FROM_OTHERS = 0.25;
+    /** Share of its capacity that a home node reserves for its own data centre when another one borrows. */
+    private static final double RESERVED_SHARE = 0.25;
 
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -30,21 +33,21 @@
         this.startedAt = now;
     }
 
-    /** Tokens for a node of the same data centre. */
+    /** Grants tokens to a node of the same data centre. */
     int grant(Organisation organisation, int wanted, long now) {
         TokenBucket bucket = bucket(organisation, now);
-        int share = (int) Math.max(1, Math.ceil(bucket.level(now) / SHARES));
+        int share = (int) Math.max(1, Math.ceil(bucket.level(now) / GRANT_DIVISOR));
         return bucket.take(Math.min(wanted, share), now);
     }
 
-    /** Tokens for the home in another data centre, which has run out: what is to spare here. */
+    /** Lends the tokens that this data centre can spare to the home node of another one, which has run out. */
     int lend(Organisation organisation, long now) {
         TokenBucket bucket = bucket(organisation, now);
-        double spare = bucket.level(now) - KEPT_FROM_OTHERS * bucket.capacity();
+        double spare = bucket.level(now) - RESERVED_SHARE * bucket.capacity();
         return bucket.take((int) Math.ceil(spare), now);
     }
 
-    /** Takes in what another data centre has given up, or what a node has not used. */
+    /** Adds tokens that another data centre has lent or that a node has not used. */
     void add(Organisation organisation, int tokens, long now) {
         bucket(organisation, now).add(tokens, now);
     }
@@ -58,21 +61,22 @@
     }
 
     /**
-     * The bucket, with the terms of the quota as it is now.
+     * Returns the bucket of the organisation, updated to the current terms of its quota.
      *
-     * <p>A new one is half full at most: the home before it, which may have died just now, has given its tokens out. A
-     * home that has just started may itself be that one, and has only what came since.
+     * <p>A new bucket is at most half full, because the previous home node, which may just have failed, has already
+     * granted its tokens. If this node has just started, it may itself be that previous home node, so the bucket holds
+     * only the tokens produced since the start.
      */
     private TokenBucket bucket(Organisation organisation, long now) {
-        double rate = terms.partRate(organisation.quota());
-        double capacity = terms.partCapacity(organisation.quota());
-        TokenBucket known = buckets.get(organisation.name());
-        if (known == null) {
+        double rate = terms.ratePerDataCentre(organisation.quota());
+        double capacity = terms.capacityPerDataCentre(organisation.quota());
+        TokenBucket existing = buckets.get(organisation.name());
+        if (existing == null) {
             double sinceStart = rate * (now - startedAt) / NANOS_PER_SECOND;
-            known = new TokenBucket(rate, capacity, Math.min(capacity / 2, sinceStart), now);
-            buckets.put(organisation.name(), known);
+            existing = new TokenBucket(rate, capacity, Math.min(capacity / 2, sinceStart), now);
+            buckets.put(organisation.name(), existing);
         }
-        known.setTerms(rate, capacity, now);
-        return known;
+        existing.setRateAndCapacity(rate, capacity, now);
+        return existing;
     }
 }
--- a/src/main/java/io/beryldock/quota/QuotaIssuer.java
+++ b/src/main/java/io/beryldock/quota/QuotaIssuer.java
@@ -17,22 +17,28 @@
 import java.util.function.Supplier;
 
 /**
- * Gives out the quotas of the organisations whose home in its data centre this node is, and borrows from the homes of
- * other data centres what they have to spare. Thread safe.
+ * Grants tokens for the organisations whose home node in its data centre this node is, and borrows spare tokens from
+ * the home nodes of other data centres. Thread safe.
  */
 final class QuotaIssuer {
 
     /**
-     * Longest wait for the homes in other data centres, well below that for the home that asks them: else it would be
-     * held for silent itself when a data centre is cut off.
+     * Timeout for the home nodes of other data centres. Must be well below the timeout for the home node that asks
+     * them: otherwise that node would itself be considered silent when a data centre is cut off.
      */
-    private static final Duration LOAN_LIMIT = Duration.ofMillis(50);
+    private static final Duration LOAN_TIMEOUT = Duration.ofMillis(50);
 
-    /** Shortest time for which a home that has none left is not asked again: bounds messages under a flood. */
-    static final long SHORTEST_EMPTY_MILLIS = 40;
+    /**
+     * Minimum time for which an empty home node is not asked again, which bounds the number of messages under a flood
+     * of requests.
+     */
+    static final long MIN_EMPTY_MILLIS = 40;
 
-    /** Longest such time: an organisation may get a higher quota, or a loan, meanwhile. */
-    private static final long LONGEST_EMPTY_MILLIS = 1000;
+    /**
+     * Maximum time for which an empty home node is not asked again: meanwhile the organisation may get a higher quota,
+     * or its home node may borrow tokens.
+     */
+    private static final long MAX_EMPTY_MILLIS = 1000;
 
     private final QuotaPeers peers;
     private final QuotaMessenger messenger;
@@ -57,8 +63,8 @@
     CompletableFuture<QuotaAnswer> answer(QuotaQuestion question) {
         Optional<Organisation> found = organisations.get().named(OrganisationName.of(question.getOrganisation()));
         if (found.isEmpty() || found.get().quota().isUnlimited()) {
-            // This node has an earlier or later configuration than the one that asks, which asks again soon.
-            return CompletableFuture.completedFuture(answerOf(0, SHORTEST_EMPTY_MILLIS));
+            // This node has an earlier or later configuration than the asking node, which will ask again soon.
+            return CompletableFuture.completedFuture(answerOf(0, MIN_EMPTY_MILLIS));
         }
         Organisation organisation = found.get();
         if (question.getBorrowing()) {
@@ -90,22 +96,22 @@
         return answerOf(granted, home.millisToNext(organisation, now));
     }
 
-    /** So many tokens, or when there may be one again. */
+    /** Encodes the granted tokens or, if none are granted, the time until one may be available again. */
     static QuotaAnswer answerOf(int granted, long millisToNext) {
         if (granted > 0) {
             return QuotaAnswer.newBuilder().setGranted(granted).build();
         }
-        long empty = Math.max(SHORTEST_EMPTY_MILLIS, Math.min(millisToNext, LONGEST_EMPTY_MILLIS));
+        long empty = Math.max(MIN_EMPTY_MILLIS, Math.min(millisToNext, MAX_EMPTY_MILLIS));
         return QuotaAnswer.newBuilder().setEmptyMillis((int) empty).build();
     }
 
-    /** Bounds questions to other data centres while an organisation asks far more than its quota. */
+    /** Bounds the number of questions to other data centres while an organisation far exceeds its quota. */
     private boolean mayBorrow(Organisation organisation) {
         Long last = borrowedAt.get(organisation.name());
-        return last == null || now() - last > TimeUnit.MILLISECONDS.toNanos(SHORTEST_EMPTY_MILLIS);
+        return last == null || now() - last > TimeUnit.MILLISECONDS.toNanos(MIN_EMPTY_MILLIS);
     }
 
-    /** Asks the homes in the other data centres for what they have to spare; completes when all have answered. */
+    /** Borrows the spare tokens of the home nodes in other data centres; completes when all have answered or failed. */
     private CompletableFuture<Void> borrow(Organisation organisation) {
         ImmutableList<NodeId> lenders;
         synchronized (this) {
@@ -120,15 +126,15 @@
                 .build();
         CompletableFuture<?>[] loans = lenders.stream()
                 .map(node -> messenger
-                        .ask(node, question, LOAN_LIMIT, this::answer)
-                        .handle((loan, failure) -> takeLoan(organisation, node, loan, failure)))
+                        .ask(node, question, LOAN_TIMEOUT, this::answer)
+                        .handle((loan, failure) -> onLoanAnswer(organisation, node, loan, failure)))
                 .toArray(CompletableFuture<?>[]::new);
         return CompletableFuture.allOf(loans);
     }
 
-    private boolean takeLoan(Organisation organisation, NodeId lender, QuotaAnswer loan, Throwable failure) {
+    private boolean onLoanAnswer(Organisation organisation, NodeId lender, QuotaAnswer loan, Throwable failure) {
         if (failure != null) {
-            messenger.passOver(lender);
+            messenger.skip(lender);
             return false;
         }
         synchronized (this) {
--- a/src/main/java/io/beryldock/quota/QuotaKeeper.java
+++ b/src/main/java/io/beryldock/quota/QuotaKeeper.java
@@ -22,12 +22,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps the requests of organisations within their quotas, over all nodes together.
+ * Limits the requests of organisations to their quotas, over all nodes together.
  *
- * <p>Each data centre has its part of a quota, and in it one node, the organisation's home, makes tokens at that part's
- * rate. Nodes at which requests come take some ahead, by demand, and use them for a short time. A home that has run out
- * takes what another data centre has to spare. So a cut leaves every side with what it has; no side can double it.
- * Where no home answers, a node goes by an even part of its own.
+ * <p>Each data centre has its part of a quota. One node in it, the organisation's home node, produces tokens at the
+ * rate of that part. Nodes that receive requests fetch tokens in advance, according to demand, and use them for a short
+ * time. A home node that has run out borrows what another data centre can spare. A network partition thus leaves each
+ * side with the tokens that it has; no side can double them. A node that reaches no home node falls back to an even
+ * part of its own.
  *
  * <p>Thread safe.
  */
@@ -37,25 +38,29 @@
     private static final int LOG_SECONDS = 10;
 
     /**
-     * Nodes of a data centre that may be an organisation's home. Each that takes over begins with a bucket of its
-     * own, so that a long row of them, each held for silent in turn, would give the quota out many times.
+     * Number of nodes per data centre that may act as home node of an organisation. Each node that takes over starts
+     * with its own bucket, so that a long sequence of them, each considered silent in turn, would grant the quota many
+     * times.
      */
-    private static final int HOMES = 2;
+    private static final int MAX_HOMES = 2;
 
-    /** Longest wait for a home: some ten times the way and back on a busy VM; requests wait meanwhile. */
-    private static final Duration HOME_LIMIT = Duration.ofMillis(150);
+    /** Timeout for a home node: about ten times the round trip on a busy VM. Requests wait meanwhile. */
+    private static final Duration HOME_TIMEOUT = Duration.ofMillis(150);
 
-    /** Range of the additional wait told to refused callers, so that they don't come back together. */
-    private static final int SPREAD_MILLIS = 600;
+    /**
+     * Range of the jitter added to the wait that is reported to refused callers, so that they do not return at the same
+     * time.
+     */
+    private static final int RETRY_JITTER_MILLIS = 600;
 
-    private static final CompletableFuture<QuotaDecision> WITHIN =
-            CompletableFuture.completedFuture(QuotaDecision.within());
+    private static final CompletableFuture<QuotaDecision> ADMITTED =
+            CompletableFuture.completedFuture(QuotaDecision.admitted());
 
     private final Ports ports;
     private final QuotaMessenger messenger;
     private final QuotaIssuer issuer;
     private final Map<OrganisationName, QuotaShare> shares = new HashMap<>();
-    private final Map<OrganisationName, TokenBucket> ownParts = new HashMap<>();
+    private final Map<OrganisationName, TokenBucket> localBuckets = new HashMap<>();
 
     private QuotaKeeper(Ports ports) {
         this.ports = ports;
@@ -63,7 +68,7 @@
         this.issuer = new QuotaIssuer(ports.terms(), ports.peers(), messenger, ports.organisations(), ports.ticker());
     }
 
-    /** What the keeper works with; the generator is thread safe. */
+    /** Dependencies of the limiter; the random generator must be thread safe. */
     public record Ports(
             QuotaTerms terms,
             QuotaPeers peers,
@@ -75,21 +80,24 @@
         return new QuotaKeeper(ports);
     }
 
-    /** Whether one request of the organisation may run now; decided at once where this node holds tokens. */
+    /**
+     * Decides whether one request of the organisation may run now. The future is complete at once while this node holds
+     * tokens.
+     */
     public CompletableFuture<QuotaDecision> admit(Organisation organisation) {
         if (organisation.quota().isUnlimited()) {
-            return WITHIN;
+            return ADMITTED;
         }
         CompletableFuture<QuotaDecision> decision;
         boolean low;
         synchronized (this) {
             long now = now();
             QuotaShare share = share(organisation);
-            share.onDemand(now, life(organisation));
+            share.onDemand(now, lifetimeNanos(organisation));
             decision = decide(share, now);
             low = share.isLow(now);
             if (low) {
-                share.onAsked();
+                share.onQuestionSent();
             }
         }
         if (low) {
@@ -100,19 +108,19 @@
 
     private CompletableFuture<QuotaDecision> decide(QuotaShare share, long now) {
         if (!share.hasWaiting() && share.take(now)) {
-            return WITHIN;
+            return ADMITTED;
         }
         long empty = share.emptyFor(now);
-        return empty > 0 ? CompletableFuture.completedFuture(over(empty)) : share.await();
+        return empty > 0 ? CompletableFuture.completedFuture(refusal(empty)) : share.await();
     }
 
-    private QuotaDecision over(long emptyNanos) {
-        return QuotaDecision.over(TimeUnit.NANOSECONDS.toMillis(emptyNanos)
-                + QuotaIssuer.SHORTEST_EMPTY_MILLIS
-                + ports.random().nextInt(SPREAD_MILLIS));
+    private QuotaDecision refusal(long emptyNanos) {
+        return QuotaDecision.refused(TimeUnit.NANOSECONDS.toMillis(emptyNanos)
+                + QuotaIssuer.MIN_EMPTY_MILLIS
+                + ports.random().nextInt(RETRY_JITTER_MILLIS));
     }
 
-    /** A request that was admitted has not run. */
+    /** Returns the token of an admitted request that has not run. */
     public synchronized void giveBack(Organisation organisation) {
         if (!organisation.quota().isUnlimited()) {
             share(organisation).giveBack(now());
@@ -126,15 +134,15 @@
         return share;
     }
 
-    private long life(Organisation organisation) {
-        return ports.terms().lifeNanos(organisation.quota());
+    private long lifetimeNanos(Organisation organisation) {
+        return ports.terms().lifetimeNanos(organisation.quota());
     }
 
     private long now() {
         return ports.ticker().nanos();
     }
 
-    /** Asks the home for tokens; the next one when it does not answer. */
+    /** Asks the home node for tokens, and the next candidate if it does not answer. */
     private void ask(Organisation organisation, int homesTried) {
         long askedAt = now();
         int wanted;
@@ -142,12 +150,12 @@
         Optional<NodeId> asked;
         synchronized (this) {
             QuotaShare share = share(organisation);
-            wanted = share.wanted(life(organisation));
+            wanted = share.wanted(lifetimeNanos(organisation));
             unused = share.takeUnused(askedAt);
-            asked = homesTried < HOMES ? homeOf(organisation) : Optional.empty();
+            asked = homesTried < MAX_HOMES ? homeOf(organisation) : Optional.empty();
         }
         if (asked.isEmpty()) {
-            takeGrant(organisation, askedAt, ownPart(organisation, wanted));
+            onGrant(organisation, askedAt, grantLocally(organisation, wanted));
             return;
         }
         QuotaQuestion question = QuotaQuestion.newBuilder()
@@ -155,11 +163,11 @@
                 .setWanted(wanted)
                 .setUnused(unused)
                 .build();
-        messenger.ask(asked.get(), question, HOME_LIMIT, issuer::answer).whenComplete((answer, failure) -> {
+        messenger.ask(asked.get(), question, HOME_TIMEOUT, issuer::answer).whenComplete((answer, failure) -> {
             if (failure == null) {
-                takeGrant(organisation, askedAt, answer);
+                onGrant(organisation, askedAt, answer);
             } else {
-                messenger.passOver(asked.get());
+                messenger.skip(asked.get());
                 ask(organisation, homesTried + 1);
             }
         });
@@ -167,65 +175,67 @@
 
     private Optional<NodeId> homeOf(Organisation organisation) {
         return ports.peers().homes(organisation.name()).stream()
-                .limit(HOMES)
+                .limit(MAX_HOMES)
                 .filter(node -> !messenger.isSilent(node))
                 .findFirst();
     }
 
-    private void takeGrant(Organisation organisation, long askedAt, QuotaAnswer grant) {
+    private void onGrant(Organisation organisation, long askedAt, QuotaAnswer grant) {
         long now = now();
         boolean again;
-        ImmutableList.Builder<Runnable> told = ImmutableList.builder();
+        ImmutableList.Builder<Runnable> completions = ImmutableList.builder();
         synchronized (this) {
             QuotaShare share = share(organisation);
-            share.onGranted(grant.getGranted(), askedAt, life(organisation));
+            share.onGranted(grant.getGranted(), askedAt, lifetimeNanos(organisation));
             while (share.hasWaiting() && share.take(now)) {
                 CompletableFuture<QuotaDecision> served = share.nextWaiting();
-                told.add(() -> served.complete(QuotaDecision.within()));
+                completions.add(() -> served.complete(QuotaDecision.admitted()));
             }
             if (grant.getGranted() == 0) {
-                refuseWaiting(share, now + TimeUnit.MILLISECONDS.toNanos(grant.getEmptyMillis()), told);
+                refuseWaiting(share, now + TimeUnit.MILLISECONDS.toNanos(grant.getEmptyMillis()), completions);
             }
             again = share.isLow(now) && share.hasWaiting();
             if (again) {
-                share.onAsked();
+                share.onQuestionSent();
             }
         }
-        told.build().forEach(Runnable::run);
+        completions.build().forEach(Runnable::run);
         if (again) {
             ask(organisation, 0);
         }
     }
 
-    private void refuseWaiting(QuotaShare share, long until, ImmutableList.Builder<Runnable> told) {
+    private void refuseWaiting(QuotaShare share, long until, ImmutableList.Builder<Runnable> completions) {
         share.onEmpty(until);
         while (share.hasWaiting()) {
             CompletableFuture<QuotaDecision> refused = share.nextWaiting();
-            QuotaDecision decision = over(Math.max(0, share.emptyFor(now())));
-            told.add(() -> refused.complete(decision));
+            QuotaDecision decision = refusal(Math.max(0, share.emptyFor(now())));
+            completions.add(() -> refused.complete(decision));
         }
     }
 
-    /** No home answers: this node goes by the part that it would have if all nodes had the same. */
-    private synchronized QuotaAnswer ownPart(Organisation organisation, int wanted) {
+    /**
+     * Grants tokens without a home node, at the rate that results from an even division of the quota among all nodes.
+     */
+    private synchronized QuotaAnswer grantLocally(Organisation organisation, int wanted) {
         long now = now();
         double rate =
                 organisation.quota().ratePerSecond() / Math.max(1, ports.peers().nodes());
         double capacity = Math.max(1, rate);
-        TokenBucket part =
-                ownParts.computeIfAbsent(organisation.name(), unused -> new TokenBucket(rate, capacity, capacity, now));
-        part.setTerms(rate, capacity, now);
-        return QuotaIssuer.answerOf(part.take(wanted, now), part.millisToNext(now));
+        TokenBucket bucket = localBuckets.computeIfAbsent(
+                organisation.name(), unused -> new TokenBucket(rate, capacity, capacity, now));
+        bucket.setRateAndCapacity(rate, capacity, now);
+        return QuotaIssuer.answerOf(bucket.take(wanted, now), bucket.millisToNext(now));
     }
 
-    /** Takes a question of another node. */
+    /** Handles a quota question from another node. */
     public void onMessage(NodeId sender, ByteString body, Consumer<ByteString> reply) {
         QuotaQuestion question;
         try {
             question = QuotaQuestion.parseFrom(body);
         } catch (InvalidProtocolBufferException e) {
             log.atWarning().withCause(e).atMostEvery(LOG_SECONDS, TimeUnit.SECONDS).log(
-                    "node %s sent a malformed question on a quota", sender);
+                    "malformed quota question from node %s", sender);
             return;
         }
         issuer.answer(question).thenAccept(answer -> reply.accept(answer.toByteString()));
--- a/src/main/java/io/beryldock/quota/QuotaMessenger.java
+++ b/src/main/java/io/beryldock/quota/QuotaMessenger.java
@@ -14,27 +14,31 @@
 import java.util.function.Function;
 
 /**
- * Brings questions on quotas to other nodes and remembers which of them do not answer. Thread safe.
+ * Sends quota questions to other nodes and remembers which of them do not answer. Thread safe.
  *
- * <p>Guards against requests that wait for a home that is cut off: each would wait for the whole limit of a question.
+ * <p>Silent nodes are skipped because otherwise each request would wait for the whole timeout of a question to an
+ * unreachable home node.
  */
 final class QuotaMessenger {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int LOG_SECONDS = 10;
 
-    /** How long a node that did not answer is passed over: longer than most restarts. */
-    private static final Duration PASSED_OVER = Duration.ofSeconds(5);
+    /** Time for which a node that did not answer is skipped: longer than most restarts. */
+    private static final Duration SKIP_PERIOD = Duration.ofSeconds(5);
 
     private final QuotaPeers peers;
     private final SilentNodes silent;
 
     QuotaMessenger(QuotaPeers peers, Ticker ticker) {
         this.peers = peers;
-        this.silent = SilentNodes.create(ticker, PASSED_OVER);
+        this.silent = SilentNodes.create(ticker, SKIP_PERIOD);
     }
 
-    /** Asks the node, this one through {@code own}; the future fails when no answer comes within the limit. */
+    /**
+     * Sends the question to the node, or passes it to {@code own} if the node is this one. The future fails when no
+     * answer arrives within the limit.
+     */
     CompletableFuture<QuotaAnswer> ask(
             NodeId node,
             QuotaQuestion question,
@@ -50,7 +54,7 @@
         try {
             return QuotaAnswer.parseFrom(body);
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalArgumentException("the answer on a quota is malformed", e);
+            throw new IllegalArgumentException("malformed quota answer", e);
         }
     }
 
@@ -58,10 +62,10 @@
         return silent.contains(node);
     }
 
-    /** The node did not answer in time. */
-    void passOver(NodeId node) {
+    /** Skips the node for some time, after it did not answer a question. */
+    void skip(NodeId node) {
         silent.add(node);
         log.atInfo().atMostEvery(LOG_SECONDS, TimeUnit.SECONDS).log(
-                "node %s does not answer on quotas and is passed over", node);
+                "quota question to node %s failed; skipping it as a home node for now", node);
     }
 }
--- a/src/main/java/io/beryldock/quota/QuotaPeers.java
+++ b/src/main/java/io/beryldock/quota/QuotaPeers.java
@@ -7,20 +7,20 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** The other nodes, as far as they hand out quotas. Thread safe. */
+/** Other nodes that take part in granting quotas. Thread safe. */
 public interface QuotaPeers {
 
     NodeId self();
 
-    /** Nodes of this data centre that may be the home of the organisation, the first choice first; never empty. */
+    /** Nodes of this data centre that may act as home node of the organisation, in order of preference; never empty. */
     ImmutableList<NodeId> homes(OrganisationName organisation);
 
-    /** The first choice of each other data centre. */
+    /** Preferred home node of the organisation in each other data centre. */
     ImmutableList<NodeId> homesElsewhere(OrganisationName organisation);
 
-    /** How many nodes there are in all data centres. */
+    /** Number of nodes in all data centres. */
     int nodes();
 
-    /** Asks the node; the future fails when no answer comes within the limit. */
+    /** Sends a question to the node; the future fails when no answer arrives within the limit. */
     CompletableFuture<ByteString> ask(NodeId node, ByteString question, Duration limit);
 }
--- a/src/main/java/io/beryldock/quota/QuotaShare.java
+++ b/src/main/java/io/beryldock/quota/QuotaShare.java
@@ -6,37 +6,37 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The tokens of one organisation that this node holds, and who waits for more.
+ * Tokens of one organisation that this node holds, and the requests that wait for more.
  *
- * <p>Not thread safe. Invariant: a token is used at most once, and not after its life, counted from when it was asked
- * for.
+ * <p>Not thread safe. Invariant: a token is used at most once and not after its lifetime, which starts when the node
+ * asked for it.
  */
 final class QuotaShare {
 
-    /** Weight of the last period in the demand that is expected: a change of demand is met within three periods. */
-    private static final double LAST_PERIOD = 0.5;
+    /** Weight of the last period in the expected demand, which follows a change of demand within three periods. */
+    private static final double LAST_PERIOD_WEIGHT = 0.5;
 
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final Deque<CompletableFuture<QuotaDecision>> waiting = new ArrayDeque<>();
     private Quota quota;
     private int tokens;
-    private int given;
+    private int lastGranted;
     private int unused;
     private long usableUntil;
-    private boolean asking;
+    private boolean questionPending;
     private long emptyUntil;
     private double expectedPerSecond;
-    private long periodFrom;
-    private int asked;
+    private long periodStart;
+    private int requestsInPeriod;
 
     QuotaShare(Quota quota, long now) {
         this.quota = quota;
-        this.periodFrom = now;
+        this.periodStart = now;
         this.emptyUntil = now;
     }
 
-    /** Takes another quota; tokens of an earlier one are worth nothing under it, neither used nor given back. */
+    /** Changes the quota. Tokens of the previous quota are discarded: they are neither used nor returned. */
     void setQuota(Quota next) {
         if (!next.equals(quota)) {
             quota = next;
@@ -45,15 +45,15 @@
         }
     }
 
-    /** Notes a request, so that parts are asked for by demand. */
-    void onDemand(long now, long lifeNanos) {
-        if (now - periodFrom >= lifeNanos) {
-            double last = asked * NANOS_PER_SECOND / (now - periodFrom);
-            expectedPerSecond += LAST_PERIOD * (last - expectedPerSecond);
-            periodFrom = now;
-            asked = 0;
+    /** Records a request, so that tokens are requested according to demand. */
+    void onDemand(long now, long lifetimeNanos) {
+        if (now - periodStart >= lifetimeNanos) {
+            double last = requestsInPeriod * NANOS_PER_SECOND / (now - periodStart);
+            expectedPerSecond += LAST_PERIOD_WEIGHT * (last - expectedPerSecond);
+            periodStart = now;
+            requestsInPeriod = 0;
         }
-        asked++;
+        requestsInPeriod++;
     }
 
     /** Uses a token if there is one. */
@@ -73,15 +73,15 @@
         }
     }
 
-    /** Tokens that were never used and can't be any more, to be made anew by the home; told once. */
+    /** Returns the number of tokens that expired unused, which the home node may grant again; each is returned once. */
     int takeUnused(long now) {
         expire(now);
-        int told = unused;
+        int expired = unused;
         unused = 0;
-        return told;
+        return expired;
     }
 
-    /** A request that used a token has not run. */
+    /** Returns the token of a request that has not run. */
     void giveBack(long now) {
         if (now < usableUntil) {
             tokens++;
@@ -90,34 +90,34 @@
         }
     }
 
-    /** Whether it is time to ask for more: little is left, and nobody asks yet. */
+    /** Whether more tokens are to be requested: few are left, and no question is pending. */
     boolean isLow(long now) {
-        return !asking && now >= emptyUntil && tokens <= given / 4 && (tokens > 0 || !waiting.isEmpty());
+        return !questionPending && now >= emptyUntil && tokens <= lastGranted / 4 && (tokens > 0 || !waiting.isEmpty());
     }
 
-    /** How many to ask for: what is expected in their life, and those that wait. */
-    int wanted(long lifeNanos) {
-        return Math.max(1, (int) Math.ceil(expectedPerSecond * lifeNanos / NANOS_PER_SECOND) + waiting.size());
+    /** Number of tokens to request: the demand expected within their lifetime, plus the waiting requests. */
+    int wanted(long lifetimeNanos) {
+        return Math.max(1, (int) Math.ceil(expectedPerSecond * lifetimeNanos / NANOS_PER_SECOND) + waiting.size());
     }
 
-    void onAsked() {
-        asking = true;
+    void onQuestionSent() {
+        questionPending = true;
     }
 
-    /** What was asked for at that moment has come. */
-    void onGranted(int number, long askedAt, long lifeNanos) {
-        asking = false;
+    /** Adds the tokens granted in answer to the question that was sent at {@code askedAt}. */
+    void onGranted(int number, long askedAt, long lifetimeNanos) {
+        questionPending = false;
         tokens += number;
-        given = number;
-        usableUntil = askedAt + lifeNanos;
+        lastGranted = number;
+        usableUntil = askedAt + lifetimeNanos;
     }
 
-    /** There is none to be had until then. */
+    /** Records that the home node has no tokens before {@code until}. */
     void onEmpty(long until) {
         emptyUntil = until;
     }
 
-    /** How long none is to be had, in nanoseconds; 0 or less when asking may help. */
+    /** Time in nanoseconds for which no tokens are available; 0 or less when a question may yield some. */
     long emptyFor(long now) {
         return emptyUntil - now;
     }
@@ -128,7 +128,7 @@
         return decision;
     }
 
-    /** The next of those that wait; null when nobody does. */
+    /** Next waiting request; null when none waits. */
     CompletableFuture<QuotaDecision> nextWaiting() {
         return waiting.poll();
     }
--- a/src/main/java/io/beryldock/quota/TokenBucket.java
+++ b/src/main/java/io/beryldock/quota/TokenBucket.java
@@ -1,6 +1,6 @@
 package io.beryldock.quota;
 
-/** Tokens that come at a rate and are saved up to a capacity. Not thread safe. */
+/** Token bucket: gains tokens at a constant rate, up to its capacity. Not thread safe. */
 final class TokenBucket {
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -11,7 +11,7 @@
     private double level;
     private long filledAt;
 
-    /** A bucket with so many tokens, at most its capacity. */
+    /** Creates a bucket that holds the given number of tokens, at most its capacity. */
     TokenBucket(double ratePerSecond, double capacity, double level, long now) {
         this.ratePerSecond = ratePerSecond;
         this.capacity = capacity;
@@ -19,12 +19,12 @@
         this.filledAt = now;
     }
 
-    /** Takes another rate and capacity from now on; what is saved beyond the capacity is lost. */
-    void setTerms(double rate, double most, long now) {
+    /** Changes rate and capacity from now on; tokens beyond the new capacity are lost. */
+    void setRateAndCapacity(double newRate, double newCapacity, long now) {
         fill(now);
-        ratePerSecond = rate;
-        capacity = most;
-        level = Math.min(level, most);
+        ratePerSecond = newRate;
+        capacity = newCapacity;
+        level = Math.min(level, newCapacity);
     }
 
     private void fill(long now) {
@@ -41,7 +41,7 @@
         return capacity;
     }
 
-    /** Takes up to so many whole tokens and tells how many. */
+    /** Takes at most the wanted number of whole tokens and returns how many were taken. */
     int take(int wanted, long now) {
         fill(now);
         int taken = (int) Math.max(0, Math.min(wanted, Math.floor(level)));
@@ -49,7 +49,7 @@
         return taken;
     }
 
-    /** Puts tokens in; what does not fit is lost. */
+    /** Adds tokens; those beyond the capacity are lost. */
     void add(int tokens, long now) {
         fill(now);
         level = Math.min(capacity, level + tokens);
--- a/src/main/java/io/beryldock/quota/package-info.java
+++ b/src/main/java/io/beryldock/quota/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How many requests of an organisation may run, over all nodes together: parts of its quota are handed out where its
- * requests come.
+ * Limits the number of requests of an organisation over all nodes together: parts of its quota are granted to the nodes
+ * that receive its requests.
  */
 package io.beryldock.quota;
--- a/src/test/java/io/beryldock/quota/QuotaFleet.java
+++ b/src/test/java/io/beryldock/quota/QuotaFleet.java
@@ -17,18 +17,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiPredicate;
 
-/** Nodes of three data centres that hand out quotas, on a clock of the test's. Not thread safe. */
+/** Simulated nodes of three data centres that grant quotas, on a manual clock. Not thread safe. */
 final class QuotaFleet {
 
     static final QuotaTerms TERMS = new QuotaTerms(5, 0.1, 20, 3);
 
-    private static final Duration WAY = Duration.ofMillis(1);
+    private static final Duration MIN_TRANSIT_TIME = Duration.ofMillis(1);
 
     private final ManualTimerService timers;
     private final Random random;
     private final Map<NodeId, Member> members = new LinkedHashMap<>();
     private OrganisationTable organisations = OrganisationTable.empty();
-    private BiPredicate<NodeId, NodeId> linked = (from, to) -> true;
+    private BiPredicate<NodeId, NodeId> reachable = (from, to) -> true;
     private int messages;
 
     QuotaFleet(ManualTimerService timers, long seed) {
@@ -36,37 +36,37 @@
         this.random = new Random(seed);
     }
 
-    private record Member(String centre, QuotaKeeper keeper) {}
+    private record Member(String centre, QuotaKeeper limiter) {}
 
-    /** A request that was let through, or not. */
-    record Ended(long at, boolean granted) {}
+    /** A request that was admitted or refused. */
+    record Outcome(long at, boolean granted) {}
 
     void start(int nodes) {
         for (int i = 0; i < nodes; i++) {
             String centre = "c" + i % 3;
             NodeId id = NodeId.of(centre + "-n" + i);
-            members.put(id, new Member(centre, keeper(id, centre)));
+            members.put(id, new Member(centre, limiter(id, centre)));
         }
     }
 
-    private QuotaKeeper keeper(NodeId id, String centre) {
+    private QuotaKeeper limiter(NodeId id, String centre) {
         return QuotaKeeper.create(new QuotaKeeper.Ports(
                 TERMS, new Peers(id, centre), () -> organisations, timers.ticker(), new Random(id.hashCode())));
     }
 
-    /** The node has lost all that it knew. */
+    /** Restarts the node, which loses all its state. */
     void restart(NodeId id) {
         String centre = members.get(id).centre();
-        members.put(id, new Member(centre, keeper(id, centre)));
+        members.put(id, new Member(centre, limiter(id, centre)));
     }
 
     void setOrganisations(OrganisationTable table) {
         organisations = table;
     }
 
-    /** Which nodes reach each other from now on. */
-    void setLinked(BiPredicate<NodeId, NodeId> value) {
-        linked = value;
+    /** Sets which nodes can reach each other from now on. */
+    void setReachable(BiPredicate<NodeId, NodeId> value) {
+        reachable = value;
     }
 
     ImmutableList<NodeId> nodes() {
@@ -81,37 +81,40 @@
         return messages;
     }
 
-    /** A request of the organisation comes to the node; its end is noted. */
-    void request(NodeId node, Organisation organisation, List<Ended> ended) {
+    /** Sends a request of the organisation to the node and records its outcome. */
+    void request(NodeId node, Organisation organisation, List<Outcome> outcomes) {
         members.get(node)
-                .keeper()
+                .limiter()
                 .admit(organisation)
-                .thenAccept(decision -> ended.add(new Ended(timers.ticker().nanos(), decision.granted())));
+                .thenAccept(decision -> outcomes.add(new Outcome(timers.ticker().nanos(), decision.granted())));
     }
 
-    /** Most requests that were let through in any window of the terms. */
-    static int mostInAWindow(List<Ended> ended) {
+    /** Largest number of requests that were admitted in any window of the terms. */
+    static int maxPerWindow(List<Outcome> outcomes) {
         long window = (long) (TERMS.windowSeconds() * 1e9);
-        List<Long> granted =
-                ended.stream().filter(Ended::granted).map(Ended::at).sorted().toList();
-        int most = 0;
+        List<Long> granted = outcomes.stream()
+                .filter(Outcome::granted)
+                .map(Outcome::at)
+                .sorted()
+                .toList();
+        int max = 0;
         int first = 0;
         for (int last = 0; last < granted.size(); last++) {
             while (granted.get(last) - granted.get(first) >= window) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            max = Math.max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
 
-    /** What the terms allow in a window. */
+    /** Number of requests that the terms allow in a window. */
     static double allowed(Organisation organisation) {
-        double rated = organisation.quota().ratePerSecond() * TERMS.windowSeconds();
-        return (rated + organisation.quota().burst()) * (1 + TERMS.overage()) + TERMS.slack();
+        double ratePerWindow = organisation.quota().ratePerSecond() * TERMS.windowSeconds();
+        return (ratePerWindow + organisation.quota().burst()) * (1 + TERMS.overage()) + TERMS.slack();
     }
 
-    /** What one node of the fleet asks of the others. */
+    /** Access of one node to the others of the fleet. */
     private final class Peers implements QuotaPeers {
         private final NodeId self;
         private final String centre;
@@ -159,11 +162,11 @@
             messages++;
             CompletableFuture<ByteString> answer = new CompletableFuture<>();
             timers.after(limit, () -> answer.completeExceptionally(new IllegalStateException("no answer")));
-            timers.after(way(), () -> {
-                if (linked.test(self, node)) {
-                    members.get(node).keeper().onMessage(self, question, body -> {
-                        if (linked.test(node, self)) {
-                            timers.after(way(), () -> answer.complete(body));
+            timers.after(transitTime(), () -> {
+                if (reachable.test(self, node)) {
+                    members.get(node).limiter().onMessage(self, question, body -> {
+                        if (reachable.test(node, self)) {
+                            timers.after(transitTime(), () -> answer.complete(body));
                         }
                     });
                 }
@@ -171,8 +174,8 @@
             return answer;
         }
 
-        private Duration way() {
-            return WAY.plusNanos(random.nextInt(1_000_000));
+        private Duration transitTime() {
+            return MIN_TRANSIT_TIME.plusNanos(random.nextInt(1_000_000));
         }
     }
 }
--- a/src/test/java/io/beryldock/quota/QuotaKeeperTest.java
+++ b/src/test/java/io/beryldock/quota/QuotaKeeperTest.java
@@ -7,7 +7,7 @@
 import io.beryldock.organisation.OrganisationName;
 import io.beryldock.organisation.OrganisationTable;
 import io.beryldock.organisation.Quota;
-import io.beryldock.quota.QuotaFleet.Ended;
+import io.beryldock.quota.QuotaFleet.Outcome;
 import io.beryldock.time.ManualTimerService;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -20,18 +20,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** 61 nodes of three data centres; a few large organisations and many small ones, whose clients sit at few nodes. */
+/**
+ * Fleet of 61 nodes in three data centres, with a few large and many small organisations whose clients use few nodes.
+ */
 final class QuotaKeeperTest {
 
     private static final int NODES = 61;
     private static final Duration STEP = Duration.ofMillis(5);
 
-    /** Usual demand is so much of the rate: operators leave organisations room. */
+    /** Usual demand as a share of the rate; operators leave organisations that much headroom. */
     private static final double USUAL = 0.625;
 
     private final ManualTimerService timers = ManualTimerService.create();
     private final QuotaFleet fleet = new QuotaFleet(timers, 1);
-    private final Map<Organisation, List<Ended>> ended = new LinkedHashMap<>();
+    private final Map<Organisation, List<Outcome>> outcomes = new LinkedHashMap<>();
     private final Map<Organisation, List<NodeId>> clients = new LinkedHashMap<>();
     private Random random = new Random(1);
 
@@ -43,14 +45,14 @@
             Quota quota = new Quota(rates[i], rates[i]);
             Organisation organisation = new Organisation(OrganisationName.of("o" + i), OptionalInt.empty(), quota);
             keys.put(organisation, List.of("key-" + i));
-            ended.put(organisation, new ArrayList<>());
+            outcomes.put(organisation, new ArrayList<>());
             clients.put(organisation, place((int) Math.round(rates[i] * USUAL)));
         }
         fleet.setOrganisations(OrganisationTable.of(keys));
         timers.advance(Duration.ofSeconds(15));
     }
 
-    /** Each client asks once a second, at its own node. */
+    /** Places clients at random nodes; each sends one request per second to its own node. */
     private List<NodeId> place(int number) {
         List<NodeId> placed = new ArrayList<>();
         for (int i = 0; i < number; i++) {
@@ -59,14 +61,14 @@
         return placed;
     }
 
-    private void play(Duration length, double times) {
+    private void run(Duration length, double times) {
         double chance = times * STEP.toMillis() / 1000.0;
         for (long left = length.toMillis(); left > 0; left -= STEP.toMillis()) {
             clients.forEach((organisation, nodes) -> {
                 for (NodeId node : nodes) {
                     for (double more = chance; more > 0; more--) {
                         if (random.nextDouble() < more) {
-                            fleet.request(node, organisation, ended.get(organisation));
+                            fleet.request(node, organisation, outcomes.get(organisation));
                         }
                     }
                 }
@@ -77,122 +79,126 @@
     }
 
     private double refusedShare() {
-        long all = ended.values().stream().mapToLong(List::size).sum();
-        long refused = ended.values().stream()
+        long all = outcomes.values().stream().mapToLong(List::size).sum();
+        long refused = outcomes.values().stream()
                 .flatMap(List::stream)
-                .filter(end -> !end.granted())
+                .filter(outcome -> !outcome.granted())
                 .count();
         return (double) refused / all;
     }
 
     private void assertWithinTerms() {
-        ended.forEach((organisation, ends) -> assertThat(QuotaFleet.mostInAWindow(ends))
-                .as("requests of %s in a window", organisation.name())
-                .isLessThanOrEqualTo((int) QuotaFleet.allowed(organisation)));
+        outcomes.forEach(
+                (organisation, organisationOutcomes) -> assertThat(QuotaFleet.maxPerWindow(organisationOutcomes))
+                        .as("requests of %s in a window", organisation.name())
+                        .isLessThanOrEqualTo((int) QuotaFleet.allowed(organisation)));
     }
 
     /**
-     * Story: an organisation of a few clients is told that it is over its quota though it asks for half of it: an even
-     * part of its quota for each of 61 nodes is too little for the two nodes at which its clients are.
+     * Guards against an organisation of a few clients that is refused at half of its quota: an even part of the quota
+     * for each of 61 nodes is too little for the two nodes that its clients use.
      */
     @Test
     void organisationsWithinTheirQuotasAreHardlyEverRefused() {
         start(2, 281, 93, 53, 39, 31, 20, 14, 10, 8, 5);
-        play(Duration.ofSeconds(30), 1);
+        run(Duration.ofSeconds(30), 1);
         assertThat(refusedShare()).isLessThan(0.01);
         assertWithinTerms();
     }
 
     /**
-     * Story: many users come at once, a tenth more than the rates of their organisations for 18 s, and pages are
-     * refused though no window holds more than rate and burst allow: tokens were made at the rate alone, and those
-     * that a node did not use in their time were lost.
+     * Guards against refusals under demand that no window of the quota forbids: many users arrive at once and exceed
+     * the rates of their organisations by a tenth for 18 s. Refusals occur when tokens are produced at the rate alone
+     * and the tokens that nodes do not use in time are lost.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void demandThatRateAndBurstAllowIsHardlyEverRefused(long seed) {
         start(seed, 281, 93, 53, 39, 31, 20, 14, 10, 8, 5);
-        play(Duration.ofSeconds(18), 1.1 / USUAL);
+        run(Duration.ofSeconds(18), 1.1 / USUAL);
         assertThat(refusedShare()).isLessThan(0.02);
         assertWithinTerms();
     }
 
     /**
-     * Story: one organisation sends 7.5 times its usual and fills the targets, so that others wait. It gets what its
-     * quota says and no more, in any window, also just when it begins.
+     * Guards against one organisation that sends 7.5 times its usual load and fills the targets, so that others wait.
+     * It gets its quota and no more in any window, including the one in which the overload begins.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void organisationThatSendsFarTooMuchGetsItsQuota(long seed) {
         start(seed, 281, 40, 10);
-        play(Duration.ofSeconds(6), 1);
-        ended.values().forEach(List::clear);
-        play(Duration.ofSeconds(10), 7.5);
+        run(Duration.ofSeconds(6), 1);
+        outcomes.values().forEach(List::clear);
+        run(Duration.ofSeconds(10), 7.5);
         assertWithinTerms();
-        ended.forEach((organisation, ends) -> assertThat(
-                        ends.stream().filter(Ended::granted).count())
+        outcomes.forEach((organisation, organisationOutcomes) -> assertThat(
+                        organisationOutcomes.stream().filter(Outcome::granted).count())
                 .as("requests of %s in ten seconds", organisation.name())
                 .isGreaterThan((long) (0.9 * 10 * organisation.quota().ratePerSecond())));
     }
 
-    /** A cut data centre goes on with its part: the two sides together give out no more than the quota. */
+    /** An isolated data centre continues with its part: both sides together grant no more than the quota. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void cutDataCentreGivesOutItsPartOnly(long seed) {
+    void isolatedDataCentreGrantsOnlyItsPart(long seed) {
         start(seed, 281, 40, 10);
-        play(Duration.ofSeconds(4), 7.5);
-        fleet.setLinked((from, to) ->
+        run(Duration.ofSeconds(4), 7.5);
+        fleet.setReachable((from, to) ->
                 fleet.centreOf(from).equals("c0") == fleet.centreOf(to).equals("c0"));
-        play(Duration.ofSeconds(10), 7.5);
-        fleet.setLinked((from, to) -> true);
-        play(Duration.ofSeconds(6), 7.5);
+        run(Duration.ofSeconds(10), 7.5);
+        fleet.setReachable((from, to) -> true);
+        run(Duration.ofSeconds(6), 7.5);
         assertWithinTerms();
     }
 
-    /** Nodes start again with nothing, homes among them; what they gave out before stays in use for its short life. */
+    /**
+     * Nodes, home nodes among them, restart without state; tokens that they granted before stay usable for their short
+     * lifetime.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void restartsOfHomesGiveNothingOutTwice(long seed) {
+    void restartsOfHomesGrantNothingTwice(long seed) {
         start(seed, 281, 40, 10);
         for (int i = 0; i < 20; i++) {
             fleet.restart(fleet.nodes().get(random.nextInt(NODES)));
-            play(Duration.ofMillis(600), 7.5);
+            run(Duration.ofMillis(600), 7.5);
         }
         assertWithinTerms();
     }
 
     /**
-     * While the home is silent the next one takes its place; requests wait for an answer once, then it is passed
-     * over.
+     * While the home node is silent, the next one takes its place: requests wait for an answer once, then the silent
+     * node is skipped.
      */
     @Test
-    void silentHomeIsPassedOver() {
+    void silentHomeIsSkipped() {
         start(5, 93, 31, 10);
-        play(Duration.ofSeconds(3), 1);
-        ended.values().forEach(List::clear);
+        run(Duration.ofSeconds(3), 1);
+        outcomes.values().forEach(List::clear);
         NodeId lost = fleet.nodes().get(7);
-        fleet.setLinked((from, to) -> !from.equals(lost) && !to.equals(lost));
+        fleet.setReachable((from, to) -> !from.equals(lost) && !to.equals(lost));
         clients.values().forEach(nodes -> nodes.removeIf(lost::equals));
-        play(Duration.ofSeconds(10), 1);
+        run(Duration.ofSeconds(10), 1);
         assertThat(refusedShare()).isLessThan(0.02);
         assertWithinTerms();
     }
 
-    /** A lower quota holds from the next tokens on. */
+    /** A lower quota applies from the next tokens on. */
     @Test
-    void loweredQuotaHoldsWithinTheLifeOfTokens() {
+    void loweredQuotaAppliesWithinTheLifetimeOfTokens() {
         start(6, 93);
-        play(Duration.ofSeconds(5), 1);
-        Organisation before = ended.keySet().iterator().next();
+        run(Duration.ofSeconds(5), 1);
+        Organisation before = outcomes.keySet().iterator().next();
         List<NodeId> nodes = clients.get(before);
         Organisation lowered = new Organisation(before.name(), OptionalInt.empty(), new Quota(9, 9));
-        ended.clear();
+        outcomes.clear();
         clients.clear();
-        ended.put(lowered, new ArrayList<>());
+        outcomes.put(lowered, new ArrayList<>());
         clients.put(lowered, nodes);
         fleet.setOrganisations(OrganisationTable.of(Map.of(lowered, List.of("key-0"))));
         timers.advance(Duration.ofSeconds(1));
-        play(Duration.ofSeconds(10), 1);
+        run(Duration.ofSeconds(10), 1);
         assertWithinTerms();
     }
 
@@ -200,11 +206,11 @@
     void organisationWithoutAQuotaIsNeverRefused() {
         fleet.start(3);
         Organisation free = new Organisation(OrganisationName.of("free"), OptionalInt.empty(), Quota.none());
-        List<Ended> ends = new ArrayList<>();
+        List<Outcome> organisationOutcomes = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
-            fleet.request(fleet.nodes().get(0), free, ends);
+            fleet.request(fleet.nodes().get(0), free, organisationOutcomes);
         }
-        assertThat(ends).hasSize(1000).allMatch(Ended::granted);
+        assertThat(organisationOutcomes).hasSize(1000).allMatch(Outcome::granted);
         assertThat(fleet.messages()).isZero();
     }
 }
