--- a/src/main/java/io/beryldock/organisation/Organisation.java
+++ b/src/main/java/io/beryldock/organisation/Organisation.java
@@ -4,9 +4,10 @@
 import java.util.OptionalInt;
 
 /**
- * Who asks, as operators know them. Immutable. Holds no key: what is passed on or logged can't give one away.
+ * Organisation that sends requests, as operators configure it. Immutable. Contains no key, so that passing an
+ * organisation on or logging it cannot reveal one.
  *
- * @param rank goes before the rank of the route, where the operators set one; 0 is shed last
+ * @param rank takes precedence over the rank of the route where operators set one; rank 0 is shed last
  */
 public record Organisation(OrganisationName name, OptionalInt rank, Quota quota) {
 
@@ -16,7 +17,7 @@
         Objects.requireNonNull(quota, "quota");
     }
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Handwritten: the C1 compiler, which nodes use, does not inline the generated equals of records (invokedynamic).
     @Override
     public boolean equals(Object other) {
         return other instanceof Organisation that
--- a/src/main/java/io/beryldock/organisation/OrganisationName.java
+++ b/src/main/java/io/beryldock/organisation/OrganisationName.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Name of an organisation, as operators write it and targets are told it. Immutable. */
+/** Name of an organisation, as operators configure it and as it is passed on to targets. Immutable. */
 public record OrganisationName(String value) {
 
     public OrganisationName {
@@ -13,7 +13,7 @@
         return new OrganisationName(value);
     }
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Handwritten: the C1 compiler, which nodes use, does not inline the generated equals of records (invokedynamic).
     @Override
     public boolean equals(Object other) {
         return other instanceof OrganisationName that && value.equals(that.value);
--- a/src/main/java/io/beryldock/organisation/OrganisationTable.java
+++ b/src/main/java/io/beryldock/organisation/OrganisationTable.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 
 /**
- * The organisations of one version of the configuration, by their keys.
+ * Organisations of one version of the configuration, with look-up by key and by name.
  *
- * <p>Immutable. A look-up costs one hash-map access, whatever the number of keys. Where there is no organisation at
- * all, requests need no key.
+ * <p>Immutable. A look-up costs one hash-map access, whatever the number of keys. If there are no organisations,
+ * requests need no key.
  */
 public final class OrganisationTable {
 
@@ -36,14 +36,14 @@
     }
 
     /**
-     * A table of the organisations and their keys.
+     * Creates a table of the organisations and their keys.
      *
-     * <p>A key that stands with two organisations is left out: it would let each act as the other.
+     * <p>A key that is listed for two organisations is left out, because it would let each of them act as the other.
      */
     public static OrganisationTable of(Map<Organisation, ? extends Collection<String>> keys) {
         Map<String, Organisation> found = new HashMap<>();
         Map<String, Boolean> shared = new HashMap<>();
-        keys.forEach((organisation, own) -> own.forEach(key -> {
+        keys.forEach((organisation, ownKeys) -> ownKeys.forEach(key -> {
             Organisation other = found.put(key, organisation);
             shared.merge(key, other != null && !other.equals(organisation), Boolean::logicalOr);
         }));
@@ -53,7 +53,7 @@
         return new OrganisationTable(ImmutableMap.copyOf(found), names.buildKeepingLast());
     }
 
-    /** Whether there is no organisation, so that no request needs a key. */
+    /** Whether there are no organisations, so that requests need no key. */
     public boolean isEmpty() {
         return byName.isEmpty();
     }
@@ -66,7 +66,10 @@
         return Optional.ofNullable(byName.get(name));
     }
 
-    /** How many ranks of organisations go before that of this one; one without a rank goes with the first. */
+    /**
+     * Number of distinct ranks of organisations that are more important than the rank of this one; 0 for an
+     * organisation without a rank.
+     */
     public int ranksBefore(Organisation organisation) {
         return organisation.rank().isEmpty()
                 ? 0
--- a/src/main/java/io/beryldock/organisation/Quota.java
+++ b/src/main/java/io/beryldock/organisation/Quota.java
@@ -1,10 +1,10 @@
 package io.beryldock.organisation;
 
 /**
- * How many requests an organisation may make, over all nodes together. Immutable.
+ * Number of requests that an organisation may send, over all nodes together. Immutable.
  *
- * @param ratePerSecond requests a second over any longer time; 0 stands for no limit
- * @param burst requests beyond the rate that may come at once
+ * @param ratePerSecond sustained requests per second; 0 means no limit
+ * @param burst number of requests beyond the rate that may arrive at once
  */
 public record Quota(double ratePerSecond, double burst) {
 
@@ -12,11 +12,12 @@
 
     public Quota {
         if (!(ratePerSecond >= 0) || !(burst >= 0)) {
-            throw new IllegalArgumentException("a quota is 0 or more: " + ratePerSecond + ", burst " + burst);
+            throw new IllegalArgumentException(
+                    "quota rate and burst must be 0 or more: rate " + ratePerSecond + ", burst " + burst);
         }
     }
 
-    /** No limit. */
+    /** Quota without a limit. */
     public static Quota none() {
         return NONE;
     }
@@ -25,7 +26,7 @@
         return ratePerSecond == 0;
     }
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Handwritten: the C1 compiler, which nodes use, does not inline the generated equals of records (invokedynamic).
     @Override
     public boolean equals(Object other) {
         return other instanceof Quota that
--- a/src/main/java/io/beryldock/organisation/package-info.java
+++ b/src/main/java/io/beryldock/organisation/package-info.java
@@ -1,2 +1,2 @@
-/** Organisations: their keys, their rank, and how many requests a second they may make over all nodes together. */
+/** Organisations: their keys, their rank, and the requests per second that they may send over all nodes together. */
 package io.beryldock.organisation;
--- a/src/test/java/io/beryldock/organisation/OrganisationTableTest.java
+++ b/src/test/java/io/beryldock/organisation/OrganisationTableTest.java
@@ -27,16 +27,19 @@
         assertThat(table.holderOf("A")).isEmpty();
     }
 
-    /** Story: two organisations have one key by a slip; whoever stands last would get the requests of the other. */
+    /**
+     * Guards against a key that is listed for two organisations by mistake: the organisation listed last would receive
+     * the requests of the other.
+     */
     @Test
-    void keyOfTwoOrganisationsIsNobodys() {
+    void keyOfTwoOrganisationsIsRejected() {
         OrganisationTable table = OrganisationTable.of(Map.of(FIRST, List.of("a", "x"), USUAL, List.of("x")));
         assertThat(table.holderOf("x")).isEmpty();
         assertThat(table.holderOf("a")).contains(FIRST);
     }
 
     @Test
-    void organisationWithoutARankGoesWithTheFirst() {
+    void organisationWithoutARankCountsAsMostImportant() {
         OrganisationTable table =
                 OrganisationTable.of(Map.of(FIRST, List.of("a"), USUAL, List.of("b"), UNRANKED, List.of("c")));
         assertThat(table.ranksBefore(FIRST)).isZero();
