--- a/src/main/java/io/beryldock/credit/ClaimTable.java
+++ b/src/main/java/io/beryldock/credit/ClaimTable.java
@@ -9,51 +9,55 @@
 import java.util.Map;
 
 /**
- * The claims of one round, summed by rank and party. Not thread safe.
+ * Claims of one allocation round, summed by rank and party. Not thread safe.
  *
- * <p>What a party gets is divided among its claims in proportion to what they want.
+ * <p>Slots granted to a party are split among its claims in proportion to the slots that each claim wants.
  */
 final class ClaimTable {
 
-    private final Map<Key, Line> lines = new LinkedHashMap<>();
+    private final Map<Key, Allocation> allocations = new LinkedHashMap<>();
 
     private record Key(int rank, Party party) {}
 
-    /** A party's claim and what it got. */
-    private static final class Line {
+    /** Summed claim of one party at one rank, and the slots granted to it. */
+    private static final class Allocation {
         private double weight = 1;
         private double wanted;
-        private double part;
+        private double granted;
     }
 
     /**
      * Adds a claim.
      *
-     * @param weight of the party, as the number of entries that it stands for; the largest counts
+     * @param weight weight of the party, as the number of entry nodes that it stands for; the largest weight added
+     *     counts
      */
     void add(int rank, Party party, double weight, double slots) {
-        Line line = lines.computeIfAbsent(new Key(rank, party), key -> new Line());
-        line.weight = Math.max(line.weight, weight);
-        line.wanted += slots;
+        Allocation allocation = allocations.computeIfAbsent(new Key(rank, party), key -> new Allocation());
+        allocation.weight = Math.max(allocation.weight, weight);
+        allocation.wanted += slots;
     }
 
     double wanted() {
-        return lines.values().stream().mapToDouble(line -> line.wanted).sum();
+        return allocations.values().stream()
+                .mapToDouble(allocation -> allocation.wanted)
+                .sum();
     }
 
     void divide(double slots, Division<Party> division) {
         List<Claim<Party>> claims = new ArrayList<>();
-        lines.forEach((key, line) -> claims.add(new Claim<>(key.party(), key.rank(), line.weight, line.wanted)));
+        allocations.forEach((key, allocation) ->
+                claims.add(new Claim<>(key.party(), key.rank(), allocation.weight, allocation.wanted)));
         ImmutableList<Double> parts = division.divide(slots, claims);
         int next = 0;
-        for (Line line : lines.values()) {
-            line.part = parts.get(next++);
+        for (Allocation allocation : allocations.values()) {
+            allocation.granted = parts.get(next++);
         }
     }
 
-    /** Part of what a claim of the party wants that it gets, 0 to 1. */
-    double share(int rank, Party party) {
-        Line line = lines.get(new Key(rank, party));
-        return line == null || line.wanted <= 0 ? 0 : Math.min(1, line.part / line.wanted);
+    /** Fraction of the party's claim that was granted, 0 to 1. */
+    double grantedFraction(int rank, Party party) {
+        Allocation allocation = allocations.get(new Key(rank, party));
+        return allocation == null || allocation.wanted <= 0 ? 0 : Math.min(1, allocation.granted / allocation.wanted);
     }
 }
--- a/src/main/java/io/beryldock/credit/Claimant.java
+++ b/src/main/java/io/beryldock/credit/Claimant.java
@@ -4,14 +4,14 @@
 import java.util.Objects;
 import java.util.Optional;
 
-/** For whom credits are asked: a rank, and the organisation where there are any. Immutable. */
+/** Beneficiary of a claim: a priority rank and, where organisations are configured, an organisation. Immutable. */
 public record Claimant(int rank, Optional<OrganisationName> organisation) {
 
     public Claimant {
         Objects.requireNonNull(organisation, "organisation");
     }
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Handwritten: the C1 compiler, which nodes use, does not inline the generated equals of records (invokedynamic).
     @Override
     public boolean equals(Object other) {
         return other instanceof Claimant that && rank == that.rank && organisation.equals(that.organisation);
--- a/src/main/java/io/beryldock/credit/CreditBalance.java
+++ b/src/main/java/io/beryldock/credit/CreditBalance.java
@@ -4,68 +4,69 @@
 import java.util.Deque;
 
 /**
- * The slot time of one service that an entry holds for one claimant.
+ * Slot time of one service that an entry node holds for one claimant.
  *
- * <p>Invariants: what was granted is used at most once and not after it lapses; what was used beyond it is paid back
- * from the next grants before anything else. Not thread safe.
+ * <p>Invariants: granted slot time is used at most once and not after it expires; slot time used beyond the grants is
+ * debt, which the next grants repay before anything else. Not thread safe.
  */
 final class CreditBalance {
 
     /**
-     * Part of a tree that must be held to start it on debt. Without debt a tree that costs more than a claimant's
-     * grant would never start; with more of it many entries could start one at the same time.
+     * Share of a tree's cost that must be held to start the tree on debt. Without debt, a tree that costs more than a
+     * claimant's grant would never start; with a lower share, many entry nodes could start such a tree at the same
+     * time.
      */
-    private static final double HELD_FOR_DEBT = 0.5;
+    private static final double MIN_HELD_SHARE_FOR_DEBT = 0.5;
 
-    private final Deque<Lot> lots = new ArrayDeque<>();
+    private final Deque<Grant> grants = new ArrayDeque<>();
     private double held;
     private double debt;
 
-    /** Credits that came together. */
-    private record Lot(double nanos, long until) {}
+    /** Credits that were granted together. */
+    private record Grant(double nanos, long expiresAt) {}
 
-    void add(double nanos, long until) {
-        double paid = Math.min(debt, nanos);
-        debt -= paid;
-        double left = nanos - paid;
+    void add(double nanos, long expiresAt) {
+        double repaid = Math.min(debt, nanos);
+        debt -= repaid;
+        double left = nanos - repaid;
         if (left > 0) {
-            lots.add(new Lot(left, until));
+            grants.add(new Grant(left, expiresAt));
             held += left;
         }
     }
 
     boolean covers(double nanos, long now) {
-        lapse(now);
-        return held >= nanos || (debt == 0 && held >= HELD_FOR_DEBT * nanos);
+        expire(now);
+        return held >= nanos || (debt == 0 && held >= MIN_HELD_SHARE_FOR_DEBT * nanos);
     }
 
-    /** Takes what {@link #covers} has allowed. */
+    /** Spends slot time for which {@link #covers} returned true. */
     void take(double nanos) {
         double left = nanos;
-        while (left > 0 && !lots.isEmpty()) {
-            Lot first = lots.poll();
+        while (left > 0 && !grants.isEmpty()) {
+            Grant first = grants.poll();
             double used = Math.min(left, first.nanos());
             left -= used;
             held -= used;
             if (used < first.nanos()) {
-                lots.addFirst(new Lot(first.nanos() - used, first.until()));
+                grants.addFirst(new Grant(first.nanos() - used, first.expiresAt()));
             }
         }
-        held = lots.isEmpty() ? 0 : held;
+        held = grants.isEmpty() ? 0 : held;
         debt += left;
     }
 
-    private void lapse(long now) {
-        lots.removeIf(lot -> {
-            boolean lapsed = now - lot.until() >= 0;
-            held -= lapsed ? lot.nanos() : 0;
-            return lapsed;
+    private void expire(long now) {
+        grants.removeIf(grant -> {
+            boolean expired = now - grant.expiresAt() >= 0;
+            held -= expired ? grant.nanos() : 0;
+            return expired;
         });
-        held = lots.isEmpty() ? 0 : held;
+        held = grants.isEmpty() ? 0 : held;
     }
 
     double held(long now) {
-        lapse(now);
+        expire(now);
         return held;
     }
 
--- a/src/main/java/io/beryldock/credit/CreditDemand.java
+++ b/src/main/java/io/beryldock/credit/CreditDemand.java
@@ -1,39 +1,39 @@
 package io.beryldock.credit;
 
 /**
- * Slot time of one service that the trees of one claimant ask for at an entry. Not thread safe.
+ * Demand of the trees of one claimant for slot time of one service at an entry node. Not thread safe.
  *
- * <p>Nobody tells when a request that waits has left. What is left of the demand is known by this: while trees that
- * come for their credits go without, some wait; when none does, nobody waits.
+ * <p>Requests that stop waiting are not reported. The remaining demand is inferred instead: as long as trees try to
+ * take credits and fail, requests are waiting; when no tree fails, none is waiting.
  */
 final class CreditDemand {
 
-    /** Time over which the rate of demand is smoothed: a burst is told within three rounds. */
+    /** Time constant of the smoothed demand rate; short enough to reflect a burst within three rounds. */
     private static final double RATE_NANOS = 150e6;
 
-    /** Time in which unmet demand fades to a third: about what a request waits. */
+    /** Time in which unmet demand decays to 1/e; about the time that a request waits. */
     private static final double UNMET_NANOS = 500e6;
 
-    /** Growth of unmet demand a round while trees wait though all that was asked for came. */
+    /** Growth factor of unmet demand per round while trees wait although the last claim was granted in full. */
     private static final double GROWTH = 2;
 
-    private double asked;
-    private double perNano;
+    private double requested;
+    private double ratePerNano;
     private double unmet;
-    private boolean missed;
-    private long steppedAt;
+    private boolean anyMissed;
+    private long intervalStart;
 
     CreditDemand(long now) {
-        steppedAt = now;
+        intervalStart = now;
     }
 
-    void ask(double nanos) {
-        asked += nanos;
+    void request(double nanos) {
+        requested += nanos;
     }
 
-    /** A tree came for its credits and went without. */
+    /** Records a tree that could not get its credits. */
     void miss(double nanos) {
-        missed = true;
+        anyMissed = true;
         unmet = Math.max(unmet, nanos);
     }
 
@@ -42,27 +42,27 @@
     }
 
     /**
-     * What will be wanted within a time from now, with what waits.
+     * Slot time wanted in the next round, including that of waiting trees. Starts a new measuring interval.
      *
-     * @param allGranted whether the last answer granted all that was asked for
+     * @param allGranted whether the last answer granted all that was claimed
      */
     double wanted(double roundNanos, boolean allGranted, long now) {
-        step(roundNanos, allGranted, now);
-        return perNano * roundNanos + unmet;
+        startInterval(roundNanos, allGranted, now);
+        return ratePerNano * roundNanos + unmet;
     }
 
-    private void step(double roundNanos, boolean allGranted, long now) {
-        double passed = Math.max(roundNanos, (double) (now - steppedAt));
-        perNano += (1 - Math.exp(-passed / RATE_NANOS)) * (asked / passed - perNano);
-        double left = missed ? unmet : 0;
-        unmet = asked + left * (allGranted ? GROWTH : Math.exp(-passed / UNMET_NANOS));
-        asked = 0;
-        missed = false;
-        steppedAt = now;
+    private void startInterval(double roundNanos, boolean allGranted, long now) {
+        double elapsed = Math.max(roundNanos, (double) (now - intervalStart));
+        ratePerNano += (1 - Math.exp(-elapsed / RATE_NANOS)) * (requested / elapsed - ratePerNano);
+        double remaining = anyMissed ? unmet : 0;
+        unmet = requested + remaining * (allGranted ? GROWTH : Math.exp(-elapsed / UNMET_NANOS));
+        requested = 0;
+        anyMissed = false;
+        intervalStart = now;
     }
 
-    /** What was wanted when it was last told. */
+    /** Current demand, without starting a new measuring interval. */
     double lastWanted(double roundNanos) {
-        return perNano * roundNanos + unmet + asked;
+        return ratePerNano * roundNanos + unmet + requested;
     }
 }
--- a/src/main/java/io/beryldock/credit/CreditHome.java
+++ b/src/main/java/io/beryldock/credit/CreditHome.java
@@ -12,38 +12,41 @@
 import java.util.Map;
 
 /**
- * Gives out what the gates of one service can serve, at the service's home in one data centre.
+ * Allocates the capacity of one service's gates in one data centre. Runs on the service's home node there.
  *
- * <p>Homes in touch with each other divide the room of all among the claims of all by the same rule; each gives its own
- * entries their parts. What one knows of the others is up to a round old, so that a change of demand can be given out
- * twice for one round.
+ * <p>Home nodes that can reach each other divide the capacity of all data centres among the claims of all by the same
+ * rule, and each of them grants its own entry nodes their parts. What a home node knows of the others is up to a round
+ * old, so that a change of demand can be granted twice for one round.
  *
- * <p>Invariants: what is given out is at most the slots of all homes in touch for the time that it is given for, and no
- * time is given out to an entry twice; the first round after {@link #HEARD_NANOS} of silence gives out nothing, as
- * another home may have. A pure decision; not thread safe.
+ * <p>Invariants: grants add up to at most the slots of all reachable home nodes for the time that they cover, and no
+ * time is granted to an entry node twice. The first round, and the first after more than {@link #HOME_SILENCE_NANOS}
+ * without a round, grants nothing, because another home node may have granted its time. No I/O; not thread safe.
  */
 final class CreditHome {
 
-    /** Homes that are silent for longer count no longer, neither their room nor their demand. */
-    static final long HEARD_NANOS = Duration.ofSeconds(1).toNanos();
+    /** Silence after which a home node of another data centre is left out, with both its capacity and its demand. */
+    static final long HOME_SILENCE_NANOS = Duration.ofSeconds(1).toNanos();
 
-    /** Share of the targets that must be nearly full: with fewer, the others have room that nobody reports. */
-    private static final double LEAST_REPORTING = 0.75;
+    /**
+     * Minimum share of targets whose gates report that they are nearly full. With fewer, the other gates have capacity
+     * that is not reported.
+     */
+    private static final double MIN_REPORTING_SHARE = 0.75;
 
-    /** Claims told to other homes, which bounds the bytes of a summary. */
+    /** Maximum number of claims in a summary for other home nodes, which bounds its size. */
     private static final int MAX_CLAIMS = 32;
 
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final Division<Party> division;
-    private final GateRoom room = new GateRoom();
+    private final GateCapacity capacity = new GateCapacity();
     private final Map<NodeId, EntryClaim> claims = new LinkedHashMap<>();
-    private final Map<NodeId, Heard> heard = new HashMap<>();
-    private final double[] givenNanos = new double[PriorityClass.RANKS];
-    private long roundNanos = CreditRound.SHORTEST_NANOS;
+    private final Map<NodeId, ReceivedSummary> remoteSummaries = new HashMap<>();
+    private final double[] grantedNanos = new double[PriorityClass.RANKS];
+    private long roundNanos = CreditRound.MIN_NANOS;
     private long openedAt;
     private long closedAt;
-    private boolean everClosed;
+    private boolean hasClosedRound;
     private double lastTotalWanted;
     private double lastTotalSlots;
     private int lastTargets;
@@ -52,24 +55,24 @@
         this.division = division;
     }
 
-    private record Heard(HomeSummary summary, long at) {}
+    private record ReceivedSummary(HomeSummary summary, long at) {}
 
     /**
-     * What a round gives out.
+     * Result of an allocation round.
      *
-     * @param known whether the gates' room is known; if not, levels decide
-     * @param isShort whether more is wanted than there is
-     * @param granted slot time in nanoseconds for the claims of each entry, in their order
+     * @param known whether the capacity of the gates is known; if not, admission levels decide
+     * @param isShort whether claims exceed the capacity
+     * @param granted slot time in nanoseconds for the claims of each entry node, in the order of the claims
      */
     record Round(boolean known, boolean isShort, ImmutableMap<NodeId, ImmutableList<Double>> granted) {}
 
-    void report(NodeId gate, GateRoom.Report report, long now) {
-        room.report(gate, report, now);
+    void report(NodeId gate, GateCapacity.Report report, long now) {
+        capacity.report(gate, report, now);
     }
 
-    /** The home of another data centre has answered. */
-    void heard(NodeId home, HomeSummary summary, long now) {
-        heard.put(home, new Heard(summary, now));
+    /** Stores a summary from the home node of another data centre. */
+    void onRemoteSummary(NodeId home, HomeSummary summary, long now) {
+        remoteSummaries.put(home, new ReceivedSummary(summary, now));
     }
 
     void open(long roundLength, long now) {
@@ -77,67 +80,71 @@
         roundNanos = roundLength;
     }
 
-    /** What an entry wants in the open round; a later word of it replaces the earlier. */
-    void claim(NodeId entry, ImmutableList<WantedCredit> wanted, long now) {
+    /** Records the claims of an entry node for the open round; a later call replaces the earlier claims. */
+    void claim(NodeId entry, ImmutableList<CreditAmount> wanted, long now) {
         claims.computeIfAbsent(entry, added -> new EntryClaim()).claim(wanted, roundNanos, now);
     }
 
     /**
-     * What other homes are told.
+     * Summary for the home nodes of other data centres.
      *
-     * <p>The claims of the open round count as soon as they are here: homes that become homes at the same time would
-     * else each take the room of all.
+     * <p>Includes the claims of the open round: otherwise nodes that become home nodes at the same time would each
+     * allocate the capacity of all data centres.
      */
     HomeSummary summary(int targets, long now) {
-        forgetOld(now);
+        removeExpired(now);
         Map<Claimant, Double> wanted = new LinkedHashMap<>();
         claims.values()
                 .forEach(claim ->
                         claim.wanted().forEach(part -> wanted.merge(part.claimant(), claim.slots(part), Double::sum)));
         return new HomeSummary(
-                room.slots(now), targets, room.reporting(now), claims.size(), LargestClaims.of(wanted, MAX_CLAIMS));
+                capacity.slots(now),
+                targets,
+                capacity.reporting(now),
+                claims.size(),
+                LargestClaims.of(wanted, MAX_CLAIMS));
     }
 
-    private void forgetOld(long now) {
-        heard.values().removeIf(home -> now - home.at() > HEARD_NANOS);
-        claims.values().removeIf(claim -> !claim.counts(roundNanos, now));
+    private void removeExpired(long now) {
+        remoteSummaries.values().removeIf(home -> now - home.at() > HOME_SILENCE_NANOS);
+        claims.values().removeIf(claim -> !claim.isCurrent(roundNanos, now));
     }
 
     /**
-     * Ends the round.
+     * Closes the round and divides the capacity.
      *
-     * @param targets of the service in this data centre
+     * @param targets number of targets of the service in this data centre
      */
     Round close(int targets, long now) {
-        forgetOld(now);
-        claims.values().stream().filter(EntryClaim::isPending).forEach(claim -> claim.measure(roundNanos, now));
-        double slots = room.slots(now);
-        for (Heard home : heard.values()) {
+        removeExpired(now);
+        claims.values().stream().filter(EntryClaim::isPending).forEach(claim -> claim.updatePeriod(roundNanos, now));
+        double slots = capacity.slots(now);
+        for (ReceivedSummary home : remoteSummaries.values()) {
             slots += home.summary().slots();
         }
         ClaimTable table = table();
         boolean isShort = table.wanted() > slots;
-        boolean known = isKnown(targets, now);
-        table.divide(known && !mayBeTakenOver() ? slots : 0, division);
+        boolean known = isCapacityKnown(targets, now);
+        table.divide(known && !mayOverlapOtherHome() ? slots : 0, division);
         Round round = new Round(known, isShort, granted(table, now));
-        remember(table, slots, targets, now);
-        room.correct(isShort, now);
+        recordRound(table, slots, targets, now);
+        capacity.updateGain(isShort, now);
         return round;
     }
 
-    /** Whether another home may have given out what this round would. */
-    private boolean mayBeTakenOver() {
-        return !everClosed || openedAt - closedAt > HEARD_NANOS;
+    /** Whether another home node may already have granted the time of this round. */
+    private boolean mayOverlapOtherHome() {
+        return !hasClosedRound || openedAt - closedAt > HOME_SILENCE_NANOS;
     }
 
-    private boolean isKnown(int ownTargets, long now) {
+    private boolean isCapacityKnown(int ownTargets, long now) {
         int targets = ownTargets;
-        int reporting = room.reporting(now);
-        for (Heard home : heard.values()) {
+        int reporting = capacity.reporting(now);
+        for (ReceivedSummary home : remoteSummaries.values()) {
             targets += home.summary().targets();
             reporting += home.summary().reporting();
         }
-        return reporting > 0 && reporting >= LEAST_REPORTING * targets;
+        return reporting > 0 && reporting >= MIN_REPORTING_SHARE * targets;
     }
 
     private ClaimTable table() {
@@ -145,7 +152,7 @@
         claims.forEach((entry, claim) -> claim.wanted()
                 .forEach(part ->
                         table.add(part.claimant().rank(), Party.of(part.claimant(), entry), 1, claim.slots(part))));
-        heard.forEach((home, known) -> known.summary()
+        remoteSummaries.forEach((home, known) -> known.summary()
                 .wanted()
                 .forEach((claimant, slots) -> table.add(
                         claimant.rank(),
@@ -168,35 +175,35 @@
         return granted.buildOrThrow();
     }
 
-    private ImmutableList<Double> granted(ClaimTable table, NodeId entry, ImmutableList<WantedCredit> wanted) {
+    private ImmutableList<Double> granted(ClaimTable table, NodeId entry, ImmutableList<CreditAmount> wanted) {
         ImmutableList.Builder<Double> parts = ImmutableList.builder();
-        for (WantedCredit part : wanted) {
+        for (CreditAmount part : wanted) {
             int rank = part.claimant().rank();
-            double nanos = part.nanos() * table.share(rank, Party.of(part.claimant(), entry));
-            givenNanos[rank] += nanos;
+            double nanos = part.nanos() * table.grantedFraction(rank, Party.of(part.claimant(), entry));
+            grantedNanos[rank] += nanos;
             parts.add(nanos);
         }
         return parts.build();
     }
 
-    private void remember(ClaimTable table, double slots, int targets, long now) {
+    private void recordRound(ClaimTable table, double slots, int targets, long now) {
         lastTotalWanted = table.wanted();
         lastTotalSlots = slots;
         lastTargets = targets;
         closedAt = now;
-        everClosed = true;
+        hasClosedRound = true;
     }
 
     CreditSnapshot.HomeRow snapshot(String service, long now) {
         return new CreditSnapshot.HomeRow(
                 service,
-                room.slots(now),
-                room.gain(),
-                room.reporting(now),
+                capacity.slots(now),
+                capacity.gain(),
+                capacity.reporting(now),
                 lastTargets,
                 lastTotalWanted,
                 lastTotalSlots,
-                Arrays.stream(givenNanos)
+                Arrays.stream(grantedNanos)
                         .mapToObj(nanos -> nanos / NANOS_PER_MILLI)
                         .collect(ImmutableList.toImmutableList()));
     }
--- a/src/main/java/io/beryldock/credit/CreditIssuer.java
+++ b/src/main/java/io/beryldock/credit/CreditIssuer.java
@@ -18,17 +18,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Answers questions on credits at the homes that this node is: gathers the claims of a round, divides, and answers them
- * all at its end.
+ * Answers credit questions for the services whose home node this node is: collects the claims of a round, divides the
+ * capacity, and answers all claims at the end of the round.
  *
- * <p>Invariant: a timer runs, and other homes are asked, only while claims wait for the end of a round. Thread safe.
+ * <p>Invariant: timers run, and other home nodes are asked, only while claims wait for the end of a round. Thread safe.
  */
 final class CreditIssuer {
 
-    /** Longest wait for the homes of other data centres; one that is later counts in the next round. */
-    private static final Duration HOME_LIMIT = Duration.ofMillis(200);
+    /**
+     * Timeout for the home nodes of other data centres. A summary that arrives after the end of the round counts in the
+     * next one.
+     */
+    private static final Duration REMOTE_HOME_TIMEOUT = Duration.ofMillis(200);
 
-    /** Services whose home the node may be at the same time; beyond them the longest unused one is forgotten. */
+    /**
+     * Maximum number of services for which this node keeps home state at the same time; beyond it, the least recently
+     * used one without an open round is evicted.
+     */
     private static final int MAX_SERVICES = 64;
 
     private static final double NANOS_PER_MICRO = 1000;
@@ -38,7 +44,7 @@
     private final CreditMessenger messenger;
     private final Division<Party> division;
     private final TimerService timers;
-    private final Map<ServiceName, Desk> desks = new HashMap<>();
+    private final Map<ServiceName, HomeState> homeStates = new HashMap<>();
 
     CreditIssuer(
             boolean enabled,
@@ -53,21 +59,21 @@
         this.timers = timers;
     }
 
-    /** A home and the entries that wait for the end of its round. Guarded by the issuer. */
-    private static final class Desk {
+    /** Home of one service and the entry nodes that wait for the end of its round. Guarded by the issuer. */
+    private static final class HomeState {
         private final CreditHome home;
         private final Map<NodeId, CompletableFuture<CreditAnswer>> waiting = new HashMap<>();
         private boolean open;
-        private int askers;
+        private int participants;
         private long roundNanos;
         private long usedAt;
 
-        Desk(CreditHome home) {
+        HomeState(CreditHome home) {
             this.home = home;
         }
     }
 
-    /** Answers this node itself. */
+    /** Answers a question of this node itself. */
     CompletableFuture<CreditAnswer> answerOwn(CreditQuestion question) {
         return answer(peers.self(), question);
     }
@@ -80,24 +86,29 @@
         return switch (question.getContentCase()) {
             case CLAIMS -> claim(service, sender, question.getClaims());
             case REPORT -> report(service, sender, question.getReport());
-            case SUMMARY, CONTENT_NOT_SET -> summarise(service, sender);
+            case SUMMARY, CONTENT_NOT_SET -> summary(service, sender);
         };
     }
 
     private synchronized CompletableFuture<CreditAnswer> report(ServiceName service, NodeId gate, CreditReport report) {
         double mean = report.getMeanMicros() * NANOS_PER_MICRO;
-        GateRoom.Report told = new GateRoom.Report(report.getLimit(), report.getRunning(), report.getQueued(), mean);
-        desk(service).home.report(gate, told, now());
+        GateCapacity.Report decoded =
+                new GateCapacity.Report(report.getLimit(), report.getRunning(), report.getQueued(), mean);
+        homeState(service).home.report(gate, decoded, now());
         return CompletableFuture.completedFuture(CreditAnswer.getDefaultInstance());
     }
 
-    /** Homes count each other or not at all: else the room of this one would be given out by both. */
-    private CompletableFuture<CreditAnswer> summarise(ServiceName service, NodeId home) {
+    /**
+     * Returns the summary only to a home node that this node counts as one too: otherwise both could grant the capacity
+     * of this node's data centre.
+     */
+    private CompletableFuture<CreditAnswer> summary(ServiceName service, NodeId home) {
         CreditAnswer.Builder answer = CreditAnswer.newBuilder();
         if (peers.homesElsewhere(service).contains(home)) {
             int targets = peers.targets(service);
             synchronized (this) {
-                answer.setSummary(desk(service).home.summary(targets, now()).encode());
+                answer.setSummary(
+                        homeState(service).home.summary(targets, now()).encode());
             }
         }
         return CompletableFuture.completedFuture(answer.build());
@@ -107,75 +118,78 @@
         CompletableFuture<CreditAnswer> answer = new CompletableFuture<>();
         Optional<CompletableFuture<CreditAnswer>> earlier;
         synchronized (this) {
-            Desk desk = desk(service);
-            if (!desk.open) {
-                open(service, desk);
+            HomeState state = homeState(service);
+            if (!state.open) {
+                open(service, state);
             }
-            desk.home.claim(entry, decode(claims), now());
-            earlier = Optional.ofNullable(desk.waiting.put(entry, answer));
+            state.home.claim(entry, decode(claims), now());
+            earlier = Optional.ofNullable(state.waiting.put(entry, answer));
         }
-        // Whoever repeats a question counts one answer, and this is the one for both.
+        // A repeated question and the earlier one get the same answer; the entry node counts only one of them.
         earlier.ifPresent(repeated -> answer.thenAccept(repeated::complete));
         return answer;
     }
 
-    /** Guarded by this. */
-    private void open(ServiceName service, Desk desk) {
-        int askers = desk.askers + peers.homesElsewhere(service).size();
-        desk.open = true;
-        desk.roundNanos = CreditRound.nanos(askers);
-        desk.home.open(desk.roundNanos, now());
-        timers.after(Duration.ofNanos(desk.roundNanos / 2), () -> askOthers(service));
-        timers.after(Duration.ofNanos(desk.roundNanos), () -> close(service));
+    /** Opens a round and schedules its end. Guarded by this. */
+    private void open(ServiceName service, HomeState state) {
+        int participants = state.participants + peers.homesElsewhere(service).size();
+        state.open = true;
+        state.roundNanos = CreditRound.nanos(participants);
+        state.home.open(state.roundNanos, now());
+        timers.after(Duration.ofNanos(state.roundNanos / 2), () -> requestSummaries(service));
+        timers.after(Duration.ofNanos(state.roundNanos), () -> close(service));
     }
 
-    private static ImmutableList<WantedCredit> decode(CreditClaims claims) {
+    private static ImmutableList<CreditAmount> decode(CreditClaims claims) {
         return claims.getClaimsList().stream()
-                .map(claim -> new WantedCredit(CreditMessenger.claimant(claim), claim.getWanted() * NANOS_PER_MICRO))
+                .map(claim -> new CreditAmount(CreditMessenger.claimant(claim), claim.getWanted() * NANOS_PER_MICRO))
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private Desk desk(ServiceName service) {
-        Desk known = desks.get(service);
-        if (known == null) {
-            forgetUnused();
-            known = new Desk(new CreditHome(division));
-            desks.put(service, known);
+    private HomeState homeState(ServiceName service) {
+        HomeState existing = homeStates.get(service);
+        if (existing == null) {
+            evictLeastRecentlyUsed();
+            existing = new HomeState(new CreditHome(division));
+            homeStates.put(service, existing);
         }
-        known.usedAt = now();
-        return known;
+        existing.usedAt = now();
+        return existing;
     }
 
-    private void forgetUnused() {
-        if (desks.size() < MAX_SERVICES) {
+    private void evictLeastRecentlyUsed() {
+        if (homeStates.size() < MAX_SERVICES) {
             return;
         }
-        desks.entrySet().stream()
+        homeStates.entrySet().stream()
                 .filter(entry -> !entry.getValue().open)
                 .min((one, other) -> Long.compare(one.getValue().usedAt, other.getValue().usedAt))
-                .ifPresent(unused -> desks.remove(unused.getKey()));
+                .ifPresent(unused -> homeStates.remove(unused.getKey()));
     }
 
     private long now() {
         return timers.ticker().nanos();
     }
 
-    /** Half a round after its opening most of its claims are here and at the other homes. */
-    private void askOthers(ServiceName service) {
+    /**
+     * Requests the summaries of other home nodes. Half a round after its opening, most of its claims have arrived here
+     * and at the other home nodes.
+     */
+    private void requestSummaries(ServiceName service) {
         CreditQuestion question = CreditQuestion.newBuilder()
                 .setService(service.value())
                 .setSummary(CreditSummary.getDefaultInstance())
                 .build();
-        // A home that is silent is asked again each round: its silence is what ends its part.
+        // Silent home nodes are asked again in each round; their last summaries are left out once they expire.
         peers.homesElsewhere(service)
                 .forEach(home -> messenger
-                        .ask(home, question, HOME_LIMIT, this::answerOwn)
-                        .thenAccept(answer -> hear(service, home, answer)));
+                        .ask(home, question, REMOTE_HOME_TIMEOUT, this::answerOwn)
+                        .thenAccept(answer -> onSummary(service, home, answer)));
     }
 
-    private synchronized void hear(ServiceName service, NodeId home, CreditAnswer answer) {
+    private synchronized void onSummary(ServiceName service, NodeId home, CreditAnswer answer) {
         if (answer.hasSummary()) {
-            desk(service).home.heard(home, HomeSummary.decode(answer.getSummary()), now());
+            homeState(service).home.onRemoteSummary(home, HomeSummary.decode(answer.getSummary()), now());
         }
     }
 
@@ -184,13 +198,13 @@
         Map<NodeId, CompletableFuture<CreditAnswer>> waiting;
         CreditHome.Round round;
         synchronized (this) {
-            Desk desk = desk(service);
-            roundNanos = desk.roundNanos;
-            waiting = Map.copyOf(desk.waiting);
-            desk.waiting.clear();
-            desk.askers = waiting.size();
-            desk.open = false;
-            round = desk.home.close(peers.targets(service), now());
+            HomeState state = homeState(service);
+            roundNanos = state.roundNanos;
+            waiting = Map.copyOf(state.waiting);
+            state.waiting.clear();
+            state.participants = waiting.size();
+            state.open = false;
+            round = state.home.close(peers.targets(service), now());
         }
         waiting.forEach((entry, answer) -> answer.complete(encode(round, entry, roundNanos)));
     }
@@ -208,7 +222,7 @@
 
     synchronized ImmutableList<CreditSnapshot.HomeRow> snapshot() {
         long now = now();
-        return desks.entrySet().stream()
+        return homeStates.entrySet().stream()
                 .map(entry -> entry.getValue().home.snapshot(entry.getKey().value(), now))
                 .collect(ImmutableList.toImmutableList());
     }
--- a/src/main/java/io/beryldock/credit/CreditKeeper.java
+++ b/src/main/java/io/beryldock/credit/CreditKeeper.java
@@ -22,16 +22,17 @@
 import java.util.function.BiFunction;
 
 /**
- * The credits that this node holds as an entry: it asks the homes of short services by demand and takes credits for
- * whole trees.
+ * Credits that this node holds as an entry node: claims credits from the home nodes of services in shortage, according
+ * to demand, and takes credits for whole trees.
  *
- * <p>Invariants: without demand or without a short service nothing is asked; a tree takes credits of all its short
- * services or of none. Thread safe; while nothing is short, asking for a tree's state takes no lock.
+ * <p>Invariants: no credits are claimed without demand or while no service is in shortage; a tree takes the credits of
+ * all its services in shortage or of none. Thread safe; while no service is in shortage, the check whether a tree
+ * requires credits takes no lock.
  */
 public final class CreditKeeper implements TreeCredits {
 
-    /** Longest wait for a home beyond its round. A tree must not wait longer for a home that is lost. */
-    private static final Duration HOME_LIMIT = Duration.ofMillis(150);
+    /** Timeout for a home node, beyond the length of its round. Trees must not wait longer for a lost home node. */
+    private static final Duration HOME_TIMEOUT = Duration.ofMillis(150);
 
     private static final double NANOS_PER_MICRO = 1000;
 
@@ -48,15 +49,15 @@
         this.enabled = enabled;
         this.messenger = messenger;
         this.ticker = ticker;
-        this.ask = (home, question) -> messenger.ask(home, question, limit(question), issuer::answerOwn);
+        this.ask = (home, question) -> messenger.ask(home, question, timeout(question), issuer::answerOwn);
     }
 
-    /** Time for which the home may wait for its round's end, and for the way. */
-    private Duration limit(CreditQuestion question) {
-        return HOME_LIMIT.plusNanos(CreditRound.nanos(messenger.nodes(ServiceName.of(question.getService()))));
+    /** Timeout of a question, which covers the wait for the end of the home node's round and the transit times. */
+    private Duration timeout(CreditQuestion question) {
+        return HOME_TIMEOUT.plusNanos(CreditRound.nanos(messenger.nodes(ServiceName.of(question.getService()))));
     }
 
-    /** Learns from a result which services do not admit all. */
+    /** Marks services whose admission level is below open as in shortage. */
     @Override
     public void observe(ImmutableList<ServiceLevel> levels) {
         if (!enabled || allOpen(levels)) {
@@ -67,7 +68,7 @@
             long now = ticker.nanos();
             for (ServiceLevel level : levels) {
                 if (level.level() < ServiceLevel.OPEN) {
-                    noteShort(level.service(), now).ifPresent(questions::add);
+                    markShort(level.service(), now).ifPresent(questions::add);
                 }
             }
             anyShort = true;
@@ -75,7 +76,10 @@
         questions.forEach(this::send);
     }
 
-    /** Asked after each caller's request, most of which meet nothing that is short. */
+    /**
+     * Whether all levels are open. Runs without a lock after each caller's request, most of which meet no service in
+     * shortage.
+     */
     private static boolean allOpen(ImmutableList<ServiceLevel> levels) {
         for (ServiceLevel level : levels) {
             if (level.level() < ServiceLevel.OPEN) {
@@ -85,11 +89,14 @@
         return true;
     }
 
-    /** A service of which the home has told nothing yet is asked for without demand: none comes before it governs. */
-    private Optional<Question> noteShort(ServiceName service, long now) {
+    /**
+     * Marks the service as in shortage. While its home node has not reported its capacity, it is asked even without
+     * demand, because demand is recorded only once trees require credits.
+     */
+    private Optional<Question> markShort(ServiceName service, long now) {
         CreditAccount account = accounts.computeIfAbsent(service, added -> new CreditAccount(now));
-        account.noteShort(now);
-        return account.homeKnows() ? Optional.empty() : question(service, account, now);
+        account.markShort(now);
+        return account.homeKnowsCapacity() ? Optional.empty() : question(service, account, now);
     }
 
     @Override
@@ -98,16 +105,16 @@
             return false;
         }
         synchronized (this) {
-            return !scarce(tree).isEmpty();
+            return !needs(tree).isEmpty();
         }
     }
 
-    /** What a tree needs of each service whose credits it needs. Guarded by this. */
-    private List<Need> scarce(TreeKey tree) {
+    /** Slot time that a tree needs of each service whose credits it requires. Guarded by this. */
+    private List<Need> needs(TreeKey tree) {
         long now = ticker.nanos();
         List<Need> needs = new ArrayList<>();
         accounts.forEach((service, account) -> {
-            double nanos = account.governs(now) ? profiles.nanos(tree, service) : 0;
+            double nanos = account.requiresCredits(now) ? profiles.nanos(tree, service) : 0;
             if (nanos > 0) {
                 needs.add(new Need(account, nanos));
             }
@@ -125,7 +132,7 @@
         List<Question> questions = new ArrayList<>();
         synchronized (this) {
             long now = ticker.nanos();
-            forgetRecovered(now);
+            removeRecovered(now);
             accounts.forEach((service, account) -> {
                 double nanos = profiles.nanos(tree, service);
                 if (nanos > 0) {
@@ -137,7 +144,7 @@
         questions.forEach(this::send);
     }
 
-    private void forgetRecovered(long now) {
+    private void removeRecovered(long now) {
         accounts.values().removeIf(account -> !account.isShort(now));
         anyShort = !accounts.isEmpty();
     }
@@ -145,9 +152,9 @@
     @Override
     public synchronized boolean take(TreeKey tree, Claimant claimant) {
         long now = ticker.nanos();
-        List<Need> needs = scarce(tree);
+        List<Need> needs = needs(tree);
         if (needs.isEmpty()) {
-            // Credits no longer govern the tree, so none cover it.
+            // The tree requires no credits any more, so none are taken.
             return false;
         }
         for (Need need : needs) {
@@ -162,7 +169,7 @@
     @Override
     public synchronized void giveBack(TreeKey tree, Claimant claimant) {
         long now = ticker.nanos();
-        scarce(tree).forEach(need -> need.account().giveBack(claimant, need.nanos(), now));
+        needs(tree).forEach(need -> need.account().giveBack(claimant, need.nanos(), now));
     }
 
     @Override
@@ -178,7 +185,7 @@
     @Override
     public synchronized long expectedWaitNanos(TreeKey tree, Claimant claimant, int ahead) {
         long now = ticker.nanos();
-        return scarce(tree).stream()
+        return needs(tree).stream()
                 .mapToLong(need ->
                         (long) need.account().expectedWaitNanos(claimant.rank(), (ahead + 1) * need.nanos(), now))
                 .max()
@@ -195,9 +202,9 @@
         listeners.add(listener);
     }
 
-    /** A question to a home that is due. */
+    /** A question that is due to a home node. */
     private record Question(
-            ServiceName service, CreditAccount account, NodeId home, ImmutableList<WantedCredit> wanted, long askedAt) {
+            ServiceName service, CreditAccount account, NodeId home, ImmutableList<CreditAmount> wanted, long askedAt) {
 
         CreditQuestion encoded() {
             CreditClaims.Builder claims = CreditClaims.newBuilder();
@@ -210,20 +217,20 @@
         }
     }
 
-    /** What the home is to be asked now, if anything. Guarded by this. */
+    /** Creates the question that is due to the home node, if any. Guarded by this. */
     private Optional<Question> question(ServiceName service, CreditAccount account, long now) {
-        if (!account.mayAsk(now)) {
+        if (!account.isQuestionDue(now)) {
             return Optional.empty();
         }
         Optional<NodeId> home = messenger.home(service);
-        ImmutableList<WantedCredit> wanted = account.wanted(now);
+        ImmutableList<CreditAmount> wanted = account.wanted(now);
         if (home.isEmpty()) {
-            account.onUnknown(now);
+            account.onCapacityUnknown(now);
         }
-        if (home.isEmpty() || (wanted.isEmpty() && account.homeKnows())) {
+        if (home.isEmpty() || (wanted.isEmpty() && account.homeKnowsCapacity())) {
             return Optional.empty();
         }
-        account.onAsked();
+        account.onQuestionSent();
         return Optional.of(new Question(service, account, home.get(), wanted, now));
     }
 
@@ -236,7 +243,7 @@
         Optional<Question> next;
         synchronized (this) {
             long now = ticker.nanos();
-            // An account may have been dropped, and one made anew, while its question was under way.
+            // The account may have been removed and created anew while its question was pending.
             boolean current = accounts.get(question.service()) == question.account();
             if (current) {
                 applyAnswer(question, answer, failure, now);
@@ -249,9 +256,9 @@
 
     private void applyAnswer(Question question, CreditAnswer answer, Throwable failure, long now) {
         if (failure != null) {
-            question.account().onSilent(question.askedAt());
+            question.account().onHomeSilent(question.askedAt());
         } else if (!answer.getKnown()) {
-            question.account().onUnknown(now);
+            question.account().onCapacityUnknown(now);
         } else {
             double round = TimeUnit.MILLISECONDS.toNanos(answer.getRoundMillis());
             question.account()
@@ -265,13 +272,15 @@
         }
     }
 
-    /** A home that answers fewer claims than it was asked grants nothing for the others. */
-    private static ImmutableList<WantedCredit> granted(Question question, CreditAnswer answer) {
+    /**
+     * Amounts granted to the claims of the question. Claims for which the answer holds no amount are granted nothing.
+     */
+    private static ImmutableList<CreditAmount> granted(Question question, CreditAnswer answer) {
         int known = Math.min(question.wanted().size(), answer.getGrantedMicrosCount());
-        ImmutableList.Builder<WantedCredit> granted = ImmutableList.builder();
+        ImmutableList.Builder<CreditAmount> granted = ImmutableList.builder();
         for (int i = 0; i < known; i++) {
             Claimant claimant = question.wanted().get(i).claimant();
-            granted.add(new WantedCredit(claimant, answer.getGrantedMicros(i) * NANOS_PER_MICRO));
+            granted.add(new CreditAmount(claimant, answer.getGrantedMicros(i) * NANOS_PER_MICRO));
         }
         return granted.build();
     }
--- a/src/main/java/io/beryldock/credit/CreditMessenger.java
+++ b/src/main/java/io/beryldock/credit/CreditMessenger.java
@@ -18,40 +18,43 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** Brings questions on credits to other nodes and remembers which of them do not answer. Thread safe. */
+/** Sends credit questions to other nodes and remembers which of them do not answer. Thread safe. */
 final class CreditMessenger {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int LOG_SECONDS = 10;
 
-    /** Nodes of a data centre that may be a service's home. */
-    private static final int HOMES = 2;
+    /** Number of nodes per data centre that may act as home node of a service. */
+    private static final int MAX_HOMES = 2;
 
-    /** How long a home that did not answer is passed over: longer than the directory keeps a lost node. */
-    private static final Duration PASSED_OVER = Duration.ofSeconds(5);
+    /** Time for which a home node that did not answer is skipped: longer than the directory keeps a lost node. */
+    private static final Duration SKIP_PERIOD = Duration.ofSeconds(5);
 
     private final CreditPeers peers;
     private final SilentNodes silent;
 
     CreditMessenger(CreditPeers peers, Ticker ticker) {
         this.peers = peers;
-        this.silent = SilentNodes.create(ticker, PASSED_OVER);
+        this.silent = SilentNodes.create(ticker, SKIP_PERIOD);
     }
 
-    /** The home of the service in this data centre, if one answers. */
+    /** Home node of the service in this data centre: the first candidate that is not skipped. */
     Optional<NodeId> home(ServiceName service) {
         return peers.homes(service).stream()
-                .limit(HOMES)
+                .limit(MAX_HOMES)
                 .filter(node -> !silent.contains(node))
                 .findFirst();
     }
 
-    /** Nodes of this data centre, each of which may ask the home of the service. */
+    /** Number of nodes in this data centre, each of which may ask the home node of the service. */
     int nodes(ServiceName service) {
         return peers.homes(service).size();
     }
 
-    /** Asks the node, this one through {@code own}; the future fails when no answer comes within the limit. */
+    /**
+     * Sends the question to the node, or passes it to {@code own} if the node is this one. The future fails when no
+     * answer arrives within the limit.
+     */
     CompletableFuture<CreditAnswer> ask(
             NodeId node,
             CreditQuestion question,
@@ -64,7 +67,7 @@
                 .thenApply(CreditMessenger::readAnswer)
                 .whenComplete((answer, failure) -> {
                     if (failure != null) {
-                        passOver(node, failure);
+                        skip(node, failure);
                     }
                 });
     }
@@ -73,14 +76,14 @@
         try {
             return CreditAnswer.parseFrom(body);
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalArgumentException("the answer on credits is malformed", e);
+            throw new IllegalArgumentException("malformed credit answer", e);
         }
     }
 
-    private void passOver(NodeId node, Throwable failure) {
+    private void skip(NodeId node, Throwable failure) {
         silent.add(node);
         log.atInfo().atMostEvery(LOG_SECONDS, TimeUnit.SECONDS).log(
-                "node %s does not answer on credits and is passed over: %s", node, failure);
+                "credit question to node %s failed; skipping it as a home node for now: %s", node, failure);
     }
 
     static CreditClaim encode(Claimant claimant, long wanted) {
@@ -99,8 +102,8 @@
         return new Claimant(rank(claim.getRank()), organisation);
     }
 
-    /** A rank that this build does not know is the least important one. */
-    private static int rank(int told) {
-        return told < 0 || told > PriorityClass.LOWEST_RANK ? PriorityClass.LOWEST_RANK : told;
+    /** Maps a rank that this build does not know to the least important one. */
+    private static int rank(int encoded) {
+        return encoded < 0 || encoded > PriorityClass.LOWEST_RANK ? PriorityClass.LOWEST_RANK : encoded;
     }
 }
--- a/src/main/java/io/beryldock/credit/CreditNode.java
+++ b/src/main/java/io/beryldock/credit/CreditNode.java
@@ -12,14 +12,14 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** The parts of one node that have to do with credits: entry, gate and home. Thread safe. */
+/** Credit components of one node: as entry, gate and home. Thread safe. */
 public final class CreditNode {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int LOG_SECONDS = 10;
 
     private final CreditIssuer issuer;
-    private final CreditKeeper keeper;
+    private final CreditKeeper entryCredits;
     private final GateReporter reporter;
 
     private CreditNode(Ports ports) {
@@ -27,16 +27,16 @@
         CreditMessenger messenger =
                 new CreditMessenger(ports.peers(), ports.timers().ticker());
         this.issuer = new CreditIssuer(enabled, ports.peers(), messenger, ports.division(), ports.timers());
-        this.keeper =
+        this.entryCredits =
                 new CreditKeeper(enabled, messenger, issuer, ports.timers().ticker());
         this.reporter = new GateReporter(enabled, ports.timers(), ports.gate(), GateReporter.sender(messenger, issuer));
     }
 
     /**
-     * What the parts work with.
+     * Dependencies of the credit components.
      *
-     * @param settings where they switch credits off, the node neither asks nor reports, and no tree needs credits
-     * @param gate the load of the target in this VM, if there is one
+     * @param settings when they disable credits, the node sends no questions or reports, and no tree requires credits
+     * @param gate load of the target in this VM, if there is one
      */
     public record Ports(
             CreditSettings settings,
@@ -50,25 +50,25 @@
     }
 
     public CreditKeeper keeper() {
-        return keeper;
+        return entryCredits;
     }
 
     public GateReporter reporter() {
         return reporter;
     }
 
-    /** Takes a question of another node. */
+    /** Handles a credit question from another node. */
     public void onMessage(NodeId sender, ByteString body, Consumer<ByteString> reply) {
         try {
             issuer.answer(sender, CreditQuestion.parseFrom(body))
                     .thenAccept(answer -> reply.accept(answer.toByteString()));
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
             log.atWarning().withCause(e).atMostEvery(LOG_SECONDS, TimeUnit.SECONDS).log(
-                    "node %s sent a malformed question on credits", sender);
+                    "malformed credit question from node %s", sender);
         }
     }
 
     public CreditSnapshot snapshot() {
-        return new CreditSnapshot(keeper.snapshot(), issuer.snapshot());
+        return new CreditSnapshot(entryCredits.snapshot(), issuer.snapshot());
     }
 }
--- a/src/main/java/io/beryldock/credit/CreditSettings.java
+++ b/src/main/java/io/beryldock/credit/CreditSettings.java
@@ -3,16 +3,16 @@
 /**
  * Settings of credits. Immutable.
  *
- * @param enabled whether entries of the deployment take credits for trees of calls; all its nodes must agree
+ * @param enabled whether entry nodes of the deployment take credits for call trees; must be the same on all nodes
  */
 public record CreditSettings(boolean enabled) {
 
-    /** Levels alone decide. */
+    /** Credits disabled: admission levels alone decide. */
     public static CreditSettings off() {
         return new CreditSettings(false);
     }
 
-    /** Entries take credits while a service is short. */
+    /** Credits enabled: entry nodes take credits while a service is in shortage. */
     public static CreditSettings on() {
         return new CreditSettings(true);
     }
--- a/src/main/java/io/beryldock/credit/CreditSnapshot.java
+++ b/src/main/java/io/beryldock/credit/CreditSnapshot.java
@@ -4,34 +4,34 @@
 import java.util.TreeMap;
 
 /**
- * Credits at one node, for operators and metrics. Immutable.
+ * State of credits at one node, for operators and metrics. Immutable.
  *
- * @param asEntry one row for each service that is short here
- * @param asHome one row for each service whose home in its data centre the node has been of late
+ * @param asEntry one row for each service that is in shortage at this node
+ * @param asHome one row for each service for which the node was recently home node in its data centre
  */
 public record CreditSnapshot(ImmutableList<EntryRow> asEntry, ImmutableList<HomeRow> asHome) {
 
     /**
-     * What an entry wants and holds of one service.
+     * Demand and credits of an entry node for one service.
      *
-     * @param governed whether trees need credits of it
-     * @param isShort whether the home's last answer told that more is wanted than there is
+     * @param governed whether trees require credits of the service
+     * @param isShort whether the last answer of the home node reported claims beyond the capacity
      */
     public record EntryRow(String service, boolean governed, boolean isShort, ImmutableList<RankRow> ranks) {}
 
-    /** Slot time of one rank in milliseconds; {@code granted} is the sum since the service became short. */
+    /** Slot time of one rank in milliseconds; {@code granted} is the sum since the shortage began. */
     public record RankRow(int rank, double wanted, double held, double debt, double granted) {}
 
     /**
-     * What a home gives out of one service.
+     * Allocation by a home node for one service.
      *
-     * @param slots that its data centre's gates can serve in the next round
-     * @param gain by which the slots are corrected for what gates really serve
-     * @param reporting gates that are nearly full
-     * @param targets of the service in the data centre
-     * @param wanted slots that all data centres in touch want
-     * @param available slots that all data centres in touch have
-     * @param givenMillis slot time given out here since the node became the home
+     * @param slots capacity of the gates in its data centre for the next round
+     * @param gain factor that corrects the gates' limits to what the gates really serve
+     * @param reporting number of gates that are nearly full
+     * @param targets number of targets of the service in the data centre
+     * @param wanted slots that all reachable data centres want
+     * @param available slots that all reachable data centres have
+     * @param givenMillis slot time of each rank that the node granted since it became home node
      */
     public record HomeRow(
             String service,
@@ -43,7 +43,7 @@
             double available,
             ImmutableList<Double> givenMillis) {}
 
-    /** Sums the claimants of each rank. Not thread safe. */
+    /** Sums the values of claimants by rank. Not thread safe. */
     static final class ByRank {
         private static final double NANOS_PER_MILLI = 1e6;
 
--- a/src/main/java/io/beryldock/credit/EntryClaim.java
+++ b/src/main/java/io/beryldock/credit/EntryClaim.java
@@ -3,34 +3,35 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * The last claim of one entry at a home. Not thread safe.
+ * Last claim of one entry node at a home node. Not thread safe.
  *
- * <p>A claim is told as slot time and counts as a rate: the slot time over the time since the entry was last answered,
- * within bounds. So entries that ask at different times and distances have equal parts.
+ * <p>A claim is received as slot time and counts as a rate: the slot time divided by the time since the entry node was
+ * last answered, within bounds. Entry nodes that ask at different intervals or from different distances thus get equal
+ * parts.
  */
 final class EntryClaim {
 
-    /** Rounds for which a claim counts, and the most that one answer makes up for. */
-    static final int KEPT_ROUNDS = 3;
+    /** Number of rounds for which a claim counts, and the longest time, in rounds, that one answer covers. */
+    static final int MAX_ROUNDS = 3;
 
-    private ImmutableList<WantedCredit> wanted = ImmutableList.of();
+    private ImmutableList<CreditAmount> wanted = ImmutableList.of();
     private boolean pending;
     private boolean everAnswered;
     private long answeredAt;
     private long claimedAt;
     private long periodNanos;
 
-    void claim(ImmutableList<WantedCredit> claimed, long roundNanos, long now) {
+    void claim(ImmutableList<CreditAmount> claimed, long roundNanos, long now) {
         wanted = claimed;
         pending = true;
         claimedAt = now;
-        measure(roundNanos, now + roundNanos);
+        updatePeriod(roundNanos, now + roundNanos);
     }
 
-    /** Works out the time that the answer will be for. */
-    void measure(long roundNanos, long answerAt) {
+    /** Computes the time that the answer will cover. */
+    void updatePeriod(long roundNanos, long answerAt) {
         long since = everAnswered ? answerAt - answeredAt : roundNanos;
-        periodNanos = Math.max(roundNanos, Math.min(KEPT_ROUNDS * roundNanos, since));
+        periodNanos = Math.max(roundNanos, Math.min(MAX_ROUNDS * roundNanos, since));
     }
 
     void answered(long now) {
@@ -39,21 +40,21 @@
         answeredAt = now;
     }
 
-    /** Whether the entry waits for the end of the round. */
+    /** Whether the entry node waits for the end of the round. */
     boolean isPending() {
         return pending;
     }
 
-    boolean counts(long roundNanos, long now) {
-        return pending || now - claimedAt <= KEPT_ROUNDS * roundNanos;
+    boolean isCurrent(long roundNanos, long now) {
+        return pending || now - claimedAt <= MAX_ROUNDS * roundNanos;
     }
 
-    ImmutableList<WantedCredit> wanted() {
+    ImmutableList<CreditAmount> wanted() {
         return wanted;
     }
 
-    /** Slots that would serve what is wanted. */
-    double slots(WantedCredit part) {
+    /** Number of slots that would serve the claim. */
+    double slots(CreditAmount part) {
         return part.nanos() / periodNanos;
     }
 }
--- a/src/main/java/io/beryldock/credit/GateLoad.java
+++ b/src/main/java/io/beryldock/credit/GateLoad.java
@@ -4,10 +4,10 @@
 import io.beryldock.call.TargetLoad;
 import java.util.Objects;
 
-/** The load of the target in this VM. Immutable. */
+/** Service and load of the target in this VM. Immutable. */
 public record GateLoad(ServiceName service, TargetLoad load) {
 
-    /** Share of the limit above which a gate is nearly full: less is what usual peaks take. */
+    /** Share of the limit above which a gate is nearly full. Normal load peaks stay below it. */
     private static final double NEARLY_FULL = 0.85;
 
     public GateLoad {
--- a/src/main/java/io/beryldock/credit/GateReporter.java
+++ b/src/main/java/io/beryldock/credit/GateReporter.java
@@ -12,26 +12,30 @@
 import java.util.function.Supplier;
 
 /**
- * Tells the home of its service what the gate in this VM can serve, while the gate is nearly full and shortly after.
+ * Reports what the gate in this VM can serve to the home node of its service, while the gate is nearly full and for a
+ * short time after.
  *
- * <p>Invariant: a gate that is not nearly full has no timer and sends nothing. Thread safe; a load that is not nearly
+ * <p>Invariant: outside that time the reporter has no timer and sends nothing. Thread safe; a load that is not nearly
  * full takes no lock.
  */
 public final class GateReporter {
 
     /**
-     * Several reports come while one counts, so that a lost one changes nothing. No multiple of a round, so that
-     * reports see the gate at all times between the arrivals of two rounds.
+     * Several reports arrive while one is valid, so that a lost report has no effect. Not a multiple of the round
+     * length, so that reports sample the gate at all points between the arrivals of two rounds.
      */
-    private static final Duration PERIOD = Duration.ofMillis(70);
+    private static final Duration REPORT_PERIOD = Duration.ofMillis(70);
 
-    /** Reports go on for so long after the gate was nearly full: demand that credits hold back shows nowhere else. */
-    private static final long AFTER_NANOS = Duration.ofSeconds(1).toNanos();
+    /**
+     * Time for which reports continue after the gate was last nearly full: nothing else shows the demand that credits
+     * hold back.
+     */
+    private static final long LINGER_NANOS = Duration.ofSeconds(1).toNanos();
 
-    private static final Duration FIRST = Duration.ofMillis(1);
+    private static final Duration FIRST_DELAY = Duration.ofMillis(1);
 
-    /** Longest wait for the home: the next report goes to another one. */
-    private static final Duration HOME_LIMIT = Duration.ofMillis(150);
+    /** Timeout for the home node; the next report goes to another candidate. */
+    private static final Duration HOME_TIMEOUT = Duration.ofMillis(150);
 
     private final boolean enabled;
     private final TimerService timers;
@@ -47,37 +51,37 @@
         this.send = send;
     }
 
-    /** Looks at what the gate tells with a result. */
+    /** Starts reporting when the load that came with a call result shows that the gate is nearly full. */
     public void onLoad(TargetLoad load) {
         if (!enabled || !GateLoad.isNearlyFull(load)) {
             return;
         }
         synchronized (this) {
-            noteFull();
+            extendReporting();
             if (!reporting) {
                 reporting = true;
-                timers.after(FIRST, this::report);
+                timers.after(FIRST_DELAY, this::report);
             }
         }
     }
 
-    private void noteFull() {
-        reportUntil = timers.ticker().nanos() + AFTER_NANOS;
+    private void extendReporting() {
+        reportUntil = timers.ticker().nanos() + LINGER_NANOS;
     }
 
     private void report() {
-        Optional<GateLoad> now = gate.get();
+        Optional<GateLoad> current = gate.get();
         synchronized (this) {
-            now.filter(found -> GateLoad.isNearlyFull(found.load())).ifPresent(found -> noteFull());
-            reporting = now.isPresent() && reportUntil - timers.ticker().nanos() > 0;
+            current.filter(found -> GateLoad.isNearlyFull(found.load())).ifPresent(found -> extendReporting());
+            reporting = current.isPresent() && reportUntil - timers.ticker().nanos() > 0;
             if (reporting) {
-                timers.after(PERIOD, this::report);
+                timers.after(REPORT_PERIOD, this::report);
             }
         }
-        now.ifPresent(send);
+        current.ifPresent(send);
     }
 
-    /** The report as a question to the home. */
+    /** Encodes the report as a question to the home node. */
     static CreditQuestion encode(GateLoad gate) {
         TargetLoad load = gate.load();
         CreditReport report = CreditReport.newBuilder()
@@ -92,12 +96,15 @@
                 .build();
     }
 
-    /** Sends reports to the home of the service; without one nobody gives out credits, so nobody needs them. */
+    /**
+     * Creates a sender that sends reports to the home node of the service. Without a home node no credits are granted,
+     * and reports are not needed.
+     */
     static Consumer<GateLoad> sender(CreditMessenger messenger, CreditIssuer issuer) {
         return gate -> {
             Optional<NodeId> home = messenger.home(gate.service());
-            // A lost report needs no handling of its own: the messenger passes the silent home over.
-            home.ifPresent(node -> messenger.ask(node, encode(gate), HOME_LIMIT, issuer::answerOwn));
+            // A lost report needs no handling of its own: the messenger skips the silent home node.
+            home.ifPresent(node -> messenger.ask(node, encode(gate), HOME_TIMEOUT, issuer::answerOwn));
         };
     }
 }
--- a/src/main/java/io/beryldock/credit/Party.java
+++ b/src/main/java/io/beryldock/credit/Party.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Who is served together when credits are divided: an organisation wherever its requests come, else an entry, or the
- * entries of another data centre under the name of their home. Immutable.
+ * Recipient among which credits are divided: an organisation, wherever its requests arrive; without organisations an
+ * entry node, or all entry nodes of another data centre under the identity of their home node. Immutable.
  */
 public record Party(Optional<OrganisationName> organisation, Optional<NodeId> node) {
 
@@ -16,7 +16,7 @@
                 : new Party(Optional.empty(), Optional.of(node));
     }
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Handwritten: the C1 compiler, which nodes use, does not inline the generated equals of records (invokedynamic).
     @Override
     public boolean equals(Object other) {
         return other instanceof Party that && organisation.equals(that.organisation) && node.equals(that.node);
--- a/src/main/java/io/beryldock/credit/TreeCredits.java
+++ b/src/main/java/io/beryldock/credit/TreeCredits.java
@@ -5,49 +5,54 @@
 import io.beryldock.call.TreeCost;
 
 /**
- * The credits that an entry holds, for trees of calls that begin there.
+ * Credits that an entry node holds, for the trees of calls that begin there.
  *
- * <p>Order of calls for one request: {@link #governs}; {@link #demand} once; {@link #take} until it returns true; then
- * {@link #ended}, or {@link #giveBack} when the tree ran nowhere. {@link #observe} at the end of each request. Thread
- * safe.
+ * <p>Order of calls for one request: the check whether the tree requires credits; once, the record of its demand;
+ * {@link #take} until it returns true; at the end the record of the tree's cost, or {@link #giveBack} when the tree ran
+ * nowhere. {@link #observe} at the end of each request. Thread safe.
  */
 public interface TreeCredits {
 
-    /** Learns from the end of a caller's request which services do not admit all. */
+    /** Learns from the result of a caller's request which services do not admit all requests. */
     void observe(ImmutableList<ServiceLevel> levels);
 
     /**
-     * Whether trees of this kind need credits now: a service that they are known to call is short, and its home is in
-     * touch. While false, the levels that answers report decide as they do without credits.
+     * Whether trees of this kind require credits now: a service that they are known to call is in shortage, and its
+     * home node is reachable. While false, the admission levels that answers report decide, as they do without credits.
      */
     boolean governs(TreeKey tree);
 
-    /** Notes that a tree was asked for, which is the demand that the entry tells the homes. */
+    /**
+     * Records that a tree was requested. The entry node claims credits from the home nodes according to this demand.
+     */
     void demand(TreeKey tree, Claimant claimant);
 
-    /** Takes the credits of one whole tree, of all its scarce services or of none; false when they do not suffice. */
+    /**
+     * Takes the credits of one whole tree, for all its services in shortage or for none; returns false when they do not
+     * suffice.
+     */
     boolean take(TreeKey tree, Claimant claimant);
 
-    /** Gives the credits of one tree back, which ran nowhere: what such a tree costs now, valid as a new grant. */
+    /** Returns the credits of one tree that ran nowhere: the current cost of such a tree, valid like a new grant. */
     void giveBack(TreeKey tree, Claimant claimant);
 
     /**
-     * Learns from the end of a tree that was started what trees of this kind cost.
+     * Learns the cost of trees of this kind from the end of a tree that was started.
      *
-     * @param succeeded only a tree that did tells what is needed
+     * @param succeeded whether the tree succeeded; the cost of other trees is ignored, as they may have ended early
      */
     void ended(TreeKey tree, TreeCost used, boolean succeeded);
 
     /**
-     * How long a tree is expected to wait for its credits.
+     * Expected wait of a tree for its credits.
      *
-     * @param ahead trees of the claimant's rank and of ranks before it that wait here
+     * @param ahead number of trees waiting here whose rank is the claimant's or more important
      */
     long expectedWaitNanos(TreeKey tree, Claimant claimant, int ahead);
 
-    /** Time that trees of this kind usually take from their start to their answer; 0 while unknown. */
+    /** Mean time of trees of this kind from start to answer; 0 while unknown. */
     long usualNanos(TreeKey tree);
 
-    /** The listener is told, on any thread, whenever credits have come in. */
+    /** Registers a listener that runs, on any thread, whenever credits may have arrived. */
     void onCredits(Runnable listener);
 }
--- a/src/main/java/io/beryldock/credit/TreeKey.java
+++ b/src/main/java/io/beryldock/credit/TreeKey.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * Requests whose trees of calls are alike: those of one route that begin at one service. Immutable.
+ * Kind of call tree: requests of one route that begin at one service have similar trees. Immutable.
  *
  * @param route host and prefix of the route
  */
@@ -15,7 +15,7 @@
         Objects.requireNonNull(service, "service");
     }
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Handwritten: the C1 compiler, which nodes use, does not inline the generated equals of records (invokedynamic).
     @Override
     public boolean equals(Object other) {
         return other instanceof TreeKey that && service.equals(that.service) && route.equals(that.route);
--- a/src/test/java/io/beryldock/credit/CreditFleet.java
+++ b/src/test/java/io/beryldock/credit/CreditFleet.java
@@ -18,19 +18,19 @@
 import java.util.function.BiPredicate;
 import java.util.function.Supplier;
 
-/** Nodes of several data centres that give out credits, on a clock of the test's. Not thread safe. */
+/** Simulated nodes of several data centres that allocate credits, on a manual clock. Not thread safe. */
 final class CreditFleet {
 
     static final ServiceName SCARCE = ServiceName.of("parcels");
 
-    private static final Duration WAY = Duration.ofMillis(1);
+    private static final Duration TRANSIT_TIME = Duration.ofMillis(1);
 
     private final ManualTimerService timers;
     private final boolean enabled;
     private final Map<NodeId, Member> members = new LinkedHashMap<>();
-    private BiPredicate<NodeId, NodeId> linked = (from, to) -> true;
-    private Duration way = WAY;
-    private boolean twice;
+    private BiPredicate<NodeId, NodeId> reachable = (from, to) -> true;
+    private Duration transitTime = TRANSIT_TIME;
+    private boolean duplicated;
     private int messages;
     private long bytes;
 
@@ -41,7 +41,7 @@
 
     private record Member(String centre, CreditNode node, Optional<ServiceName> target) {}
 
-    /** Adds a node, named after its data centre; one with a gate has a target. */
+    /** Adds a node whose data centre is the prefix of its id; {@code gate} is present if the node has a target. */
     CreditNode add(NodeId id, Supplier<Optional<GateLoad>> gate) {
         String centre = id.value().substring(0, id.value().indexOf('-'));
         CreditNode node = CreditNode.create(new CreditNode.Ports(
@@ -50,7 +50,10 @@
         return node;
     }
 
-    /** Ranks in order, within one the same part of each claim: a stand-in for the division in use. */
+    /**
+     * Stand-in for the production division: serves ranks in order and grants each claim within a rank the same
+     * fraction.
+     */
     static ImmutableList<Double> byRank(double amount, List<Claim<Party>> claims) {
         double[] wanted = new double[8];
         claims.forEach(claim -> wanted[claim.rank()] += claim.wanted());
@@ -87,27 +90,27 @@
         return members.get(id).centre();
     }
 
-    /** Which nodes reach each other from now on. */
-    void setLinked(BiPredicate<NodeId, NodeId> value) {
-        linked = value;
+    /** Sets which nodes can reach each other from now on. */
+    void setReachable(BiPredicate<NodeId, NodeId> value) {
+        reachable = value;
     }
 
-    /** How long a message takes, and whether each arrives twice. */
-    void setWay(Duration value, boolean eachTwice) {
-        way = value;
-        twice = eachTwice;
+    /** Sets the transit time of messages and whether each question is delivered twice. */
+    void setTransit(Duration value, boolean duplicate) {
+        transitTime = value;
+        duplicated = duplicate;
     }
 
     int messages() {
         return messages;
     }
 
-    /** Bytes of all questions and answers, without the frames around them. */
+    /** Bytes of all questions and answers, without their frames. */
     long bytes() {
         return bytes;
     }
 
-    /** What one node of the fleet asks of the others. */
+    /** Access of one node to the others of the fleet. */
     private final class Peers implements CreditPeers {
         private final NodeId self;
         private final String centre;
@@ -150,7 +153,7 @@
             CompletableFuture<ByteString> answer = new CompletableFuture<>();
             timers.after(limit, () -> answer.completeExceptionally(new TimeoutException("no answer of " + node)));
             deliver(node, question, answer);
-            if (twice) {
+            if (duplicated) {
                 deliver(node, question, answer);
             }
             return answer;
@@ -159,8 +162,8 @@
         private void deliver(NodeId node, ByteString question, CompletableFuture<ByteString> answer) {
             messages += 2;
             bytes += question.size();
-            timers.after(way, () -> {
-                if (linked.test(self, node)) {
+            timers.after(transitTime, () -> {
+                if (reachable.test(self, node)) {
                     node(node).onMessage(self, question, reply -> reply(node, reply, answer));
                 }
             });
@@ -168,8 +171,8 @@
 
         private void reply(NodeId node, ByteString reply, CompletableFuture<ByteString> answer) {
             bytes += reply.size();
-            timers.after(way, () -> {
-                if (linked.test(node, self)) {
+            timers.after(transitTime, () -> {
+                if (reachable.test(node, self)) {
                     answer.complete(reply);
                 }
             });
--- a/src/test/java/io/beryldock/credit/CreditKeeperTest.java
+++ b/src/test/java/io/beryldock/credit/CreditKeeperTest.java
@@ -15,7 +15,10 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** One entry, the node with the gate of a scarce service, which is its home, and one with that of another. */
+/**
+ * Fleet of one entry node, one node whose gate serves a scarce service and which is its home node, and one node with
+ * the gate of another service.
+ */
 final class CreditKeeperTest {
 
     private static final ServiceName OTHER = ServiceName.of("scanstore");
@@ -29,7 +32,7 @@
     private final ImmutableList<NodeId> ranked =
             NodeRanking.of(ImmutableList.of(NodeId.of("c0-a"), NodeId.of("c0-b")), CreditFleet.SCARCE.value());
     private final NodeId home = ranked.get(0);
-    private final CreditKeeper keeper =
+    private final CreditKeeper entryCredits =
             fleet.add(ranked.get(1), Optional::empty).keeper();
 
     private void addGate(NodeId node, ServiceName service) {
@@ -39,42 +42,42 @@
     }
 
     private void learn(ServiceCost... costs) {
-        keeper.ended(TREE, new TreeCost(ImmutableList.copyOf(costs)), true);
+        entryCredits.ended(TREE, new TreeCost(ImmutableList.copyOf(costs)), true);
     }
 
     private void demand(int trees) {
         for (int i = 0; i < trees; i++) {
-            keeper.demand(TREE, CLAIMANT);
+            entryCredits.demand(TREE, CLAIMANT);
         }
     }
 
-    private void shortage(ServiceName service) {
-        keeper.observe(ImmutableList.of(new ServiceLevel(service, ServiceLevel.OPEN / 2)));
+    private void reportShortage(ServiceName service) {
+        entryCredits.observe(ImmutableList.of(new ServiceLevel(service, ServiceLevel.OPEN / 2)));
     }
 
     @Test
-    void treesAreGovernedOnceTheHomeHasAnswered() {
+    void treesRequireCreditsOnceTheHomeHasAnswered() {
         addGate(home, CreditFleet.SCARCE);
         learn(new ServiceCost(CreditFleet.SCARCE, 1, 10_000_000));
         timers.advance(Duration.ofMillis(5));
-        shortage(CreditFleet.SCARCE);
-        assertThat(keeper.governs(TREE)).isFalse();
+        reportShortage(CreditFleet.SCARCE);
+        assertThat(entryCredits.governs(TREE)).isFalse();
         timers.advance(Duration.ofMillis(60));
-        assertThat(keeper.governs(TREE)).isTrue();
-        assertThat(keeper.governs(new TreeKey("search", TREE.service())))
-                .as("a kind of which nothing is known")
+        assertThat(entryCredits.governs(TREE)).isTrue();
+        assertThat(entryCredits.governs(new TreeKey("search", TREE.service())))
+                .as("unknown kind of tree")
                 .isFalse();
     }
 
-    /** Guards against a tree that uses the room of one service and then fails at the other. */
+    /** Guards against a tree that uses the capacity of one service and then fails at the other. */
     @Test
-    void treeTakesCreditsOfAllItsShortServicesOrOfNone() {
+    void treeTakesCreditsOfAllItsServicesInShortageOrOfNone() {
         addGate(home, CreditFleet.SCARCE);
         addGate(NodeId.of("c0-c"), OTHER);
         learn(new ServiceCost(CreditFleet.SCARCE, 1, 10_000_000), new ServiceCost(OTHER, 1, 500_000_000));
         timers.advance(Duration.ofMillis(5));
-        shortage(CreditFleet.SCARCE);
-        shortage(OTHER);
+        reportShortage(CreditFleet.SCARCE);
+        reportShortage(OTHER);
         demand(3);
         for (int i = 0; i < 60; i++) {
             timers.advance(MILLI);
@@ -84,51 +87,51 @@
         int taken = 0;
         for (int i = 0; i < 150; i++) {
             timers.advance(MILLI);
-            taken += keeper.take(TREE, CLAIMANT) ? 1 : 0;
+            taken += entryCredits.take(TREE, CLAIMANT) ? 1 : 0;
         }
         assertThat(taken).isBetween(1, 3);
         assertThat(held)
-                .isLessThanOrEqualTo(keeper.snapshot().stream()
+                .isLessThanOrEqualTo(entryCredits.snapshot().stream()
                         .filter(row -> row.service().equals(CreditFleet.SCARCE.value()))
                         .mapToDouble(row -> row.ranks().get(0).granted())
                         .sum());
     }
 
     private double held(ServiceName service) {
-        return keeper.snapshot().stream()
+        return entryCredits.snapshot().stream()
                 .filter(row -> row.service().equals(service.value()))
                 .flatMap(row -> row.ranks().stream())
                 .mapToDouble(CreditSnapshot.RankRow::held)
                 .sum();
     }
 
-    /** Guards against requests that wait for a home that no longer answers. */
+    /** Guards against requests that keep waiting for a home node that no longer answers. */
     @Test
     void levelsDecideSoonAfterTheHomeIsSilent() {
         addGate(home, CreditFleet.SCARCE);
         learn(new ServiceCost(CreditFleet.SCARCE, 1, 10_000_000));
         timers.advance(Duration.ofMillis(5));
-        shortage(CreditFleet.SCARCE);
+        reportShortage(CreditFleet.SCARCE);
         demand(1);
         timers.advance(Duration.ofMillis(60));
-        fleet.setLinked((from, to) -> false);
-        for (int i = 0; i < 400 && keeper.governs(TREE); i++) {
+        fleet.setReachable((from, to) -> false);
+        for (int i = 0; i < 400 && entryCredits.governs(TREE); i++) {
             demand(1);
             timers.advance(MILLI);
         }
-        assertThat(keeper.governs(TREE)).isFalse();
+        assertThat(entryCredits.governs(TREE)).isFalse();
     }
 
-    /** Guards against credits that are held for a service that has room again. */
+    /** Guards against credits being required for a service that has capacity again. */
     @Test
-    void nothingIsGovernedTwoSecondsAfterTheShortage() {
+    void noCreditsAreRequiredTwoSecondsAfterTheShortage() {
         addGate(home, CreditFleet.SCARCE);
         learn(new ServiceCost(CreditFleet.SCARCE, 1, 10_000_000));
         timers.advance(Duration.ofMillis(5));
-        shortage(CreditFleet.SCARCE);
+        reportShortage(CreditFleet.SCARCE);
         demand(1);
         timers.advance(Duration.ofMillis(2100));
-        assertThat(keeper.governs(TREE)).isFalse();
+        assertThat(entryCredits.governs(TREE)).isFalse();
         int messages = fleet.messages();
         demand(5);
         assertThat(fleet.messages()).isEqualTo(messages);
@@ -139,14 +142,14 @@
         addGate(home, CreditFleet.SCARCE);
         learn(new ServiceCost(CreditFleet.SCARCE, 1, 10_000_000));
         timers.advance(Duration.ofMillis(5));
-        shortage(CreditFleet.SCARCE);
+        reportShortage(CreditFleet.SCARCE);
         for (int i = 0; i < 130; i++) {
             demand(1);
             timers.advance(MILLI);
         }
         double held = held(CreditFleet.SCARCE);
-        assertThat(keeper.take(TREE, CLAIMANT)).isTrue();
-        keeper.giveBack(TREE, CLAIMANT);
+        assertThat(entryCredits.take(TREE, CLAIMANT)).isTrue();
+        entryCredits.giveBack(TREE, CLAIMANT);
         assertThat(held(CreditFleet.SCARCE)).isEqualTo(held);
     }
 }
--- a/src/test/java/io/beryldock/credit/CreditReplay.java
+++ b/src/test/java/io/beryldock/credit/CreditSimulation.java
@@ -28,10 +28,10 @@
 import java.util.function.Predicate;
 
 /**
- * Entries of four data centres whose trees each make eight calls, two levels beneath, to a service with one gate a data
- * centre. Not thread safe.
+ * Simulates entry nodes of four data centres. Each tree makes eight calls, two levels below its root, to a service with
+ * one gate per data centre. Not thread safe.
  */
-final class CreditReplay {
+final class CreditSimulation {
 
     static final int CENTRES = 4;
     static final int ENTRIES = 20;
@@ -39,13 +39,13 @@
     static final int CALLS = 8;
     static final double CALL_NANOS = 66e6;
 
-    /** Trees a second that the gates can serve. */
-    static final double ROOM = CENTRES * SLOTS / (CALLS * CALL_NANOS / 1e9);
+    /** Trees per second that the gates can serve. */
+    static final double CAPACITY = CENTRES * SLOTS / (CALLS * CALL_NANOS / 1e9);
 
     private static final TreeKey TREE = new TreeKey("browse", ServiceName.of("catalogue"));
     private static final Claimant CLAIMANT = new Claimant(1, Optional.empty());
     private static final Duration TICK = Duration.ofMillis(5);
-    private static final long PATIENCE = Duration.ofMillis(500).toNanos();
+    private static final long WAIT_LIMIT = Duration.ofMillis(500).toNanos();
     private static final long CALL_LIMIT = Duration.ofMillis(700).toNanos();
 
     private final ManualTimerService timers = ManualTimerService.create();
@@ -56,10 +56,10 @@
     private final List<Tree> started = new ArrayList<>();
     private final RequestIds ids;
     private double busyNanos;
-    private int leastAboveMillis = 40;
+    private int minUpperMillis = 40;
     private int spreadMillis = 1;
 
-    CreditReplay(boolean credits, long seed) {
+    CreditSimulation(boolean credits, long seed) {
         this.random = new Random(seed);
         this.ids = RequestIds.of(new Incarnation(1, 1));
         this.fleet = new CreditFleet(timers, credits);
@@ -78,10 +78,10 @@
         }
     }
 
-    /** How long the levels above take until a tree calls the scarce service. */
-    void setAbove(int leastMillis, int mostMillis) {
-        leastAboveMillis = leastMillis;
-        spreadMillis = mostMillis - leastMillis;
+    /** Sets the range of the time that the upper levels of a tree take until the tree calls the scarce service. */
+    void setUpperLevelTime(int minMillis, int maxMillis) {
+        minUpperMillis = minMillis;
+        spreadMillis = maxMillis - minMillis;
     }
 
     CreditFleet fleet() {
@@ -124,7 +124,7 @@
             return used;
         }
 
-        void wave() {
+        void sendCalls() {
             for (int i = 0; i < CALLS / 2; i++) {
                 call(this);
             }
@@ -135,7 +135,7 @@
             left--;
             entry.node.keeper().observe(levels(gate));
             if (left == CALLS / 2 && !failed) {
-                wave();
+                sendCalls();
             } else if (left == 0 || left == CALLS / 2) {
                 entry.ended(this, gate);
             }
@@ -146,7 +146,7 @@
         return ImmutableList.of(new ServiceLevel(CreditFleet.SCARCE, gate.level()));
     }
 
-    /** One entry: its requests wait for credits, or go by levels. */
+    /** One entry node; its requests wait for credits or are admitted by levels. */
     private final class Entry {
         private final NodeId id;
         private final CreditNode node;
@@ -169,7 +169,7 @@
         }
 
         private void serve() {
-            waiting.removeIf(at -> lost || now() - at > PATIENCE);
+            waiting.removeIf(at -> lost || now() - at > WAIT_LIMIT);
             while (!waiting.isEmpty()) {
                 if (!node.keeper().governs(TREE)) {
                     long asked = waiting.remove();
@@ -194,7 +194,7 @@
 
     private void start(Tree tree) {
         started.add(tree);
-        timers.after(Duration.ofMillis(leastAboveMillis + random.nextInt(spreadMillis)), tree::wave);
+        timers.after(Duration.ofMillis(minUpperMillis + random.nextInt(spreadMillis)), tree::sendCalls);
     }
 
     private void call(Tree tree) {
@@ -241,10 +241,10 @@
         return timers.ticker().nanos();
     }
 
-    /** Requests come at so many times the room. */
-    void play(Duration length, double times) {
+    /** Runs the simulation with a request rate of {@code times} the capacity. */
+    void run(Duration length, double times) {
         long left = entries.stream().filter(entry -> !entry.lost).count();
-        double perEntryTick = times * ROOM / left * TICK.toNanos() / 1e9;
+        double perEntryTick = times * CAPACITY / left * TICK.toNanos() / 1e9;
         for (long passed = 0; passed < length.toMillis(); passed += TICK.toMillis()) {
             for (Entry entry : entries) {
                 if (!entry.lost && random.nextDouble() < perEntryTick) {
@@ -255,12 +255,15 @@
         }
     }
 
-    /** These entries take no more requests, and what they hold is lost. */
+    /** Removes entry nodes: they accept no more requests, and the credits that they hold are lost. */
     void loseEntries(Predicate<NodeId> lost) {
         entries.stream().filter(entry -> lost.test(entry.id)).forEach(entry -> entry.lost = true);
     }
 
-    /** Part of the gates' slot time that was used since the gates had spent so much. */
+    /**
+     * Share of the gates' slot time that was used in the last {@code passed}, at whose start {@link #busyNanos} was
+     * {@code busyBefore}.
+     */
     double usedShare(double busyBefore, Duration passed) {
         return (busyNanos - busyBefore) / (CENTRES * SLOTS * (double) passed.toNanos());
     }
@@ -269,12 +272,15 @@
         return started.stream().filter(tree -> tree.at() >= from).collect(ImmutableList.toImmutableList());
     }
 
-    /** Slot time that gates have spent until now. */
+    /** Slot time that the gates have spent so far. */
     double busyNanos() {
         return busyNanos;
     }
 
-    /** Most slot time of covered trees that started since then in any window of the length, over its room. */
+    /**
+     * Largest slot time of covered trees that started in any window of the given length since {@code from}, relative to
+     * the capacity of the window.
+     */
     double mostCovered(long from, Duration window) {
         List<Long> starts = startedSince(from).stream()
                 .filter(Tree::covered)
@@ -289,10 +295,10 @@
             }
             most = Math.max(most, last - first + 1);
         }
-        return most / (ROOM * window.toNanos() / 1e9);
+        return most / (CAPACITY * window.toNanos() / 1e9);
     }
 
-    /** Part of the slot time spent since then that trees spent which failed. */
+    /** Share of the slot time spent since {@code from} that was spent on trees that failed. */
     double wastedShare(long from) {
         double all = 0;
         double wasted = 0;
@@ -303,7 +309,7 @@
         return all == 0 ? 0 : wasted / all;
     }
 
-    /** Part of the trees started since then that failed. */
+    /** Share of the trees started since {@code from} that failed. */
     double failedShare(long from) {
         List<Tree> trees = startedSince(from);
         return (double) trees.stream().filter(Tree::failed).count() / Math.max(1, trees.size());
--- a/src/test/java/io/beryldock/credit/GateReporterTest.java
+++ b/src/test/java/io/beryldock/credit/GateReporterTest.java
@@ -24,25 +24,25 @@
         return new GateReporter(enabled, timers, () -> Optional.of(new GateLoad(CreditFleet.SCARCE, load)), sent::add);
     }
 
-    private void become(GateReporter reporter, int running, int queued) {
+    private void changeLoad(GateReporter reporter, int running, int queued) {
         load = load(running, queued);
         reporter.onLoad(load);
     }
 
-    /** Guards against messages and timers of gates that have room. */
+    /** Guards against messages and timers of gates that have free capacity. */
     @Test
-    void gateWithRoomIsSilent() {
-        become(reporter(true), 80, 0);
+    void gateWithFreeCapacityIsSilent() {
+        changeLoad(reporter(true), 80, 0);
         assertThat(timers.nextDue()).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
     void nearlyFullGateReportsUntilASecondAfter() {
         GateReporter reporter = reporter(true);
-        become(reporter, 100, 3);
+        changeLoad(reporter, 100, 3);
         timers.advance(Duration.ofSeconds(1));
         assertThat(sent).hasSizeGreaterThan(10);
-        become(reporter, 40, 0);
+        changeLoad(reporter, 40, 0);
         timers.advance(Duration.ofMillis(1100));
         int reports = sent.size();
         timers.advance(Duration.ofSeconds(5));
@@ -50,10 +50,10 @@
         assertThat(timers.nextDue()).isEqualTo(Long.MAX_VALUE);
     }
 
-    /** Guards against a gate that hangs full and ends no call: no result tells of it. */
+    /** Guards against a gate that hangs while full: it completes no call, so no result carries its load. */
     @Test
     void gateThatStaysFullReportsWithoutResults() {
-        become(reporter(true), 100, 50);
+        changeLoad(reporter(true), 100, 50);
         timers.advance(Duration.ofSeconds(3));
         int reports = sent.size();
         timers.advance(Duration.ofSeconds(1));
@@ -62,7 +62,7 @@
 
     @Test
     void disabledReporterIsSilent() {
-        become(reporter(false), 100, 50);
+        changeLoad(reporter(false), 100, 50);
         assertThat(timers.nextDue()).isEqualTo(Long.MAX_VALUE);
     }
 }
--- a/src/test/java/io/beryldock/credit/NoCredits.java
+++ b/src/test/java/io/beryldock/credit/NoCredits.java
@@ -4,7 +4,7 @@
 import io.beryldock.call.ServiceLevel;
 import io.beryldock.call.TreeCost;
 
-/** Credits that govern no tree; tests override what they are about. */
+/** Credits that no tree requires. Tests override the methods that they need. */
 public class NoCredits implements TreeCredits {
 
     @Override
--- a/src/test/java/io/beryldock/credit/TreeProfilesTest.java
+++ b/src/test/java/io/beryldock/credit/TreeProfilesTest.java
@@ -32,13 +32,13 @@
     }
 
     @Test
-    void firstTreesTellTheCost() {
+    void firstTreesDetermineTheCost() {
         learn(3, 300_000_000, 528_000_000);
         assertThat(profiles.nanos(TREE, BENEATH)).isCloseTo(528e6, within(1.0));
         assertThat(profiles.usualNanos(TREE)).isEqualTo(300_000_000);
     }
 
-    /** Load pattern: a change of configuration doubles the calls of a route. */
+    /** Load pattern: a configuration change doubles the calls of a route. */
     @Test
     void meanFollowsWithinSomeTensOfTrees() {
         learn(200, 300_000_000, 528_000_000);
@@ -46,7 +46,7 @@
         assertThat(profiles.nanos(TREE, BENEATH)).isGreaterThan(0.95 * 1_056e6);
     }
 
-    /** Guards against trees that wait for a service that they do not call any more. */
+    /** Guards against trees that wait for credits of a service that they no longer call. */
     @Test
     void serviceThatIsNoLongerCalledCostsNothing() {
         learn(10, 300_000_000, 528_000_000);
@@ -56,7 +56,7 @@
         assertThat(profiles.nanos(TREE, BENEATH)).isZero();
     }
 
-    /** Guards against memory that grows with what callers send. */
+    /** Guards against memory that grows with the variety of callers' requests. */
     @Test
     void kindsAreBounded() {
         for (int i = 0; i <= TreeProfiles.MAX_KINDS; i++) {
