--- a/src/main/java/io/beryldock/admission/CallerHash.java
+++ b/src/main/java/io/beryldock/admission/CallerHash.java
@@ -5,9 +5,11 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Hash of a caller that is equal at every node in one epoch, so that whole requests live or die together.
+ * Hash of a caller that is equal at every node within one epoch, so that all nodes shed the same callers and a root
+ * request is admitted or shed as a whole.
  *
- * <p>Stateless, thread safe. With the epoch the order of callers changes, so that the same people are not always shed.
+ * <p>The epoch seeds the hash, so that the order of callers changes with it and the same callers are not shed
+ * permanently. Stateless and thread safe.
  */
 public final class CallerHash {
 
@@ -20,12 +22,18 @@
                 .asInt();
     }
 
-    /** The hash of a request that was turned away before: among the half of its rank that is shed last. */
+    /**
+     * Hash of a request that was shed before and is retried: it lies in the lower half of the rank's range, which is
+     * shed last.
+     */
     public static int returned(int callerHash) {
         return Math.floorMod(callerHash, ServiceLevel.STEPS) / 2;
     }
 
-    /** The lowest level that admits the rank and caller; a level admits a request when it is higher than this. */
+    /**
+     * Position of the rank and caller on the scale of levels; a level admits a request when it is higher than this
+     * position.
+     */
     static int position(int rank, int callerHash) {
         return rank * ServiceLevel.STEPS + Math.floorMod(callerHash, ServiceLevel.STEPS);
     }
--- a/src/main/java/io/beryldock/admission/Completion.java
+++ b/src/main/java/io/beryldock/admission/Completion.java
@@ -1,13 +1,13 @@
 package io.beryldock.admission;
 
-/** How a target's work on a request ended. */
+/** How the execution of a request at a target ended. */
 public enum Completion {
     /** The target answered in time. */
     SUCCEEDED,
     /** The target failed or the connection was lost. */
     FAILED,
-    /** The target refused with its marker before running the request. */
+    /** The target refused the request with its not-executed marker before running it. */
     REFUSED_BY_TARGET,
-    /** The target answered after the caller had given up or the time was over. */
+    /** The target answered after the caller had cancelled the request or its deadline had passed. */
     ABANDONED_DONE
 }
--- a/src/main/java/io/beryldock/admission/ConcurrencyLimit.java
+++ b/src/main/java/io/beryldock/admission/ConcurrencyLimit.java
@@ -1,13 +1,14 @@
 package io.beryldock.admission;
 
 /**
- * How many requests a target may run at once.
+ * Concurrency limit of a target: the number of requests that it may run at once.
  *
- * <p>The strategy moves the limit once a window. Bounds: the announced slots and the settings' maximum. A new gate's
- * target counts as cold, or as busy with work that an earlier node gave it: the bound starts at the initial limit and
- * rises with the time that passed and with the requests that completed, whichever is less.
+ * <p>The strategy updates the limit at the end of each window of completions. The limit is bounded by the announced
+ * slots and by the configured maximum. The target of a new gate is treated as cold, since it may be cold or may still
+ * run requests that an earlier node admitted: the bound starts at the initial limit and rises with the elapsed time and
+ * with the completed requests, whichever allows less.
  *
- * <p>Invariant: never above the announced slots, never below 1. Guarded by the gate's lock.
+ * <p>Invariant: the limit is never above the announced slots and never below 1. Guarded by the gate's lock.
  */
 final class ConcurrencyLimit {
 
@@ -34,7 +35,7 @@
         restart(now);
     }
 
-    /** The target is cold from now on. */
+    /** Marks the target as cold, so that the ramp-up starts again. */
     void restart(long now) {
         ramp = settings.initialLimit();
         coldSince = now;
@@ -57,7 +58,7 @@
         peakInFlight = Math.max(peakInFlight, inFlight);
     }
 
-    /** Takes a completion in; the service time counts only for work that ran to its end. */
+    /** Records a completion. The service time counts only for requests that ran to completion. */
     void completed(Completion completion, long serviceNanos, long now) {
         switch (completion) {
             case SUCCEEDED -> addCompleted(serviceNanos);
--- a/src/main/java/io/beryldock/admission/DoorDecision.java
+++ b/src/main/java/io/beryldock/admission/DoorDecision.java
@@ -1,11 +1,11 @@
 package io.beryldock.admission;
 
 /**
- * Whether a request may start.
+ * Decision of an entry node on whether a request may start.
  *
  * <p>Immutable.
  *
- * @param retryAfterMillis when a shed caller may come back, 0 for an admitted one
+ * @param retryAfterMillis delay after which a shed caller may retry, 0 for an admitted request
  */
 public record DoorDecision(boolean admitted, long retryAfterMillis) {
 
--- a/src/main/java/io/beryldock/admission/DoorShedder.java
+++ b/src/main/java/io/beryldock/admission/DoorShedder.java
@@ -13,33 +13,36 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Sheds requests at their entry, before any work is spent, by the worst level that answers reported along the graph
- * beneath a service.
+ * Sheds requests at their entry node, before any work is done for them, by the lowest level that answers reported from
+ * the call graph below a service.
  *
- * <p>Invariants: a service of which nothing was reported for {@link RouteLevel#OPEN_AFTER_NANOS} is open; memory is
- * held only for services that do not admit all. Thread safe; deciding takes no lock.
+ * <p>Invariants: a service for which nothing was reported within {@link RouteLevel#OPEN_AFTER_NANOS} is open; memory is
+ * held only for services that do not admit all requests. Thread safe; decisions take no lock.
  */
 public final class DoorShedder {
 
     private final Ticker ticker;
     private final RandomGenerator random;
     private final EventSink events;
-    private final EventSampler sheds;
+    private final EventSampler shedSampler;
     private final Map<ServiceName, RouteLevel> closed = new ConcurrentHashMap<>();
 
     private DoorShedder(Ticker ticker, RandomGenerator random, EventSink events) {
         this.ticker = ticker;
         this.random = random;
         this.events = events;
-        this.sheds = new EventSampler(events, EventKind.SHED_AT_DOOR);
+        this.shedSampler = new EventSampler(events, EventKind.SHED_AT_DOOR);
     }
 
-    /** The generator must be thread safe. */
+    /** Creates a shedder that admits all requests at first; the generator must be thread safe. */
     public static DoorShedder create(Ticker ticker, RandomGenerator random, EventSink events) {
         return new DoorShedder(ticker, random, events);
     }
 
-    /** Learns from the end of a caller's request of this rank the levels of its service and of those beneath it. */
+    /**
+     * Records the levels of a service and of the services below it, as reported at the end of a root request of this
+     * rank.
+     */
     public void observe(ServiceName service, int rank, List<ServiceLevel> levels) {
         RouteLevel known = closed.get(service);
         if (known == null && allOpen(levels)) {
@@ -50,7 +53,7 @@
         route.observe(rank, levels, ticker.nanos());
         if (wasOpen && !route.open(rank)) {
             recordChange(service, "rank " + rank + ": the entry sheds: " + route.closed(rank, ticker.nanos()));
-        } else if (route.settledOpen()) {
+        } else if (route.allSamplesOpen()) {
             forget(service, route);
         }
     }
@@ -65,7 +68,7 @@
         events.record(EventKind.LEVEL_CHANGED, service.value(), change);
     }
 
-    /** Whether a request of this rank and caller to the service may start. */
+    /** Decides whether a request of this rank and caller to the service may start. */
     public DoorDecision decide(ServiceName service, int rank, int callerHash) {
         RouteLevel route = closed.get(service);
         if (route == null || route.open(rank)) {
@@ -76,13 +79,13 @@
         if (level >= ServiceLevel.OPEN || CallerHash.position(rank, callerHash) < level || route.takeProbe(rank, now)) {
             return DoorDecision.admit();
         }
-        if (sheds.take(now)) {
-            sheds.record(Optional.empty(), service.value(), "rank " + rank + " at level " + level);
+        if (shedSampler.take(now)) {
+            shedSampler.record(Optional.empty(), service.value(), "rank " + rank + " at level " + level);
         }
         return DoorDecision.shed(RetryAfter.millis(random));
     }
 
-    /** The lowest level that holds for a rank of the service at this entry, for operators. */
+    /** Returns the lowest level that applies to any rank of the service at this entry node, for operators. */
     public int level(ServiceName service) {
         RouteLevel route = closed.get(service);
         return route == null ? ServiceLevel.OPEN : route.lowestLevel(ticker.nanos());
--- a/src/main/java/io/beryldock/admission/GateCore.java
+++ b/src/main/java/io/beryldock/admission/GateCore.java
@@ -13,11 +13,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The decisions of one target's gate: a pure function of its state, the event and the time.
+ * Decision logic of one target's gate: a pure function of its state, the event and the time.
  *
- * <p>Invariants, asserted where they could break: an admission never brings more in flight than the limit, hence than
- * the announced slots; each submitted request is decided once; a refused one was never admitted; nothing is admitted
- * while draining; none is admitted while a more important one waits. Guarded by the gate's lock.
+ * <p>Invariants, checked where they could be violated: an admission never raises the number of requests in flight above
+ * the limit, and thus never above the announced slots; each submitted request is decided exactly once; a refused
+ * request was never admitted; nothing is admitted while draining; no request is admitted while a more important one is
+ * queued. Guarded by the gate's lock.
  */
 final class GateCore {
 
@@ -28,15 +29,15 @@
     private final GateEvents events;
     private final ServiceTimes times = new ServiceTimes();
     private final ConcurrencyLimit limit;
-    private final StandingQueue standing;
+    private final StandingQueueDetector standing;
     private final LevelController levels;
     private final GateCounts counts = new GateCounts();
     private final TreeSet<GateEntry> queue = new TreeSet<>(GateEntry.BY_IMPORTANCE);
     private final Set<GateEntry> running = new HashSet<>();
-    private final List<CompletableFuture<Void>> waitingForIdle = new ArrayList<>();
+    private final List<CompletableFuture<Void>> idleFutures = new ArrayList<>();
     private GateSettings settings;
     private boolean draining;
-    private long progressAt;
+    private long lastProgressAt;
 
     GateCore(GateSettings settings, RandomGenerator random, EventSink events, ServiceName service, long now) {
         this.settings = settings;
@@ -44,11 +45,11 @@
         this.invariants = new Invariants(events, service.value());
         this.limit = new ConcurrencyLimit(settings, times, now);
         this.events = new GateEvents(events, service, limit.at(now), now);
-        this.standing = new StandingQueue(now);
+        this.standing = new StandingQueueDetector(now);
         this.levels = new LevelController(now);
     }
 
-    void reconfigure(GateSettings changed, long now, Deliveries out) {
+    void reconfigure(GateSettings changed, long now, DecisionNotifications out) {
         settings = changed;
         limit.reconfigure(changed);
         admitWaiting(now, out);
@@ -58,18 +59,18 @@
         limit.restart(now);
     }
 
-    void submit(GateEntry entry, long now, Deliveries out) {
+    void submit(GateEntry entry, long now, DecisionNotifications out) {
         counts.submitted();
         levels.arrived(entry.request().rank(), entry.request().callerHash());
         if (settings.timesByKind()) {
-            entry.learnKind(times, now);
+            entry.applyKind(times, now);
         }
         if (draining) {
             refuse(entry, Reason.DRAINING, now, out);
         } else if (!canFinish(entry, now)) {
             refuse(entry, Reason.DEADLINE_PASSED, now, out);
         } else if (queue.isEmpty() && running.size() < limit.at(now)) {
-            standing.empty(now);
+            standing.markEmpty(now);
             admit(entry, now, out);
         } else {
             enqueue(entry, now, out);
@@ -77,7 +78,7 @@
         advanceLevel(now);
     }
 
-    void cancel(GateEntry entry, long now, Deliveries out) {
+    void cancel(GateEntry entry, long now, DecisionNotifications out) {
         if (entry.state() == GateEntry.State.QUEUED) {
             queue.remove(entry);
             refuse(entry, Reason.CANCELLED, now, out);
@@ -86,22 +87,22 @@
         }
     }
 
-    void release(GateEntry entry, Completion completion, long now, Deliveries out) {
+    void release(GateEntry entry, Completion completion, long now, DecisionNotifications out) {
         if (!entry.holdsSlot()) {
             return;
         }
         boolean abandoned = entry.state() == GateEntry.State.ABANDONED;
-        Completion counted = abandoned && completion == Completion.SUCCEEDED ? Completion.ABANDONED_DONE : completion;
+        Completion effective = abandoned && completion == Completion.SUCCEEDED ? Completion.ABANDONED_DONE : completion;
         entry.end();
         running.remove(entry);
-        progressAt = now;
-        learn(entry, counted, now);
+        lastProgressAt = now;
+        recordCompletion(entry, effective, now);
         admitWaiting(now, out);
         advanceLevel(now);
         completeIdle(out);
     }
 
-    void drain(long now, Deliveries out) {
+    void drain(long now, DecisionNotifications out) {
         draining = true;
         List<GateEntry> waiting = List.copyOf(queue);
         queue.clear();
@@ -112,19 +113,19 @@
         draining = false;
     }
 
-    /** Refuses what has waited too long or can no longer finish. */
-    void expire(long now, Deliveries out) {
+    /** Refuses queued requests that have waited too long or can no longer finish before their deadline. */
+    void expire(long now, DecisionNotifications out) {
         long allowed = standing.allowedWait(
-                now, targetNanos(now), settings.queueInterval().toNanos());
+                now, standingWaitNanos(now), settings.queueInterval().toNanos());
         List<GateEntry> expired = new ArrayList<>();
         for (GateEntry entry : queue) {
-            if (!entry.fitsItsTime(times, now) || entry.waitedNanos(now) > allowed) {
+            if (!entry.fitsDeadline(times, now) || entry.waitedNanos(now) > allowed) {
                 expired.add(entry);
             }
         }
         for (GateEntry entry : expired) {
             queue.remove(entry);
-            boolean late = !entry.fitsItsTime(times, now);
+            boolean late = !entry.fitsDeadline(times, now);
             refuse(entry, late ? Reason.DEADLINE_PASSED : Reason.QUEUED_TOO_LONG, now, out);
         }
         admitWaiting(now, out);
@@ -132,14 +133,15 @@
     }
 
     /**
-     * Takes back the slots of requests whose answer is overdue by the hold time.
+     * Reclaims the slots of requests whose answer is overdue by more than the hold time.
      *
-     * <p>Work that was given up goes on at the target, so its slot stays taken until the answer. But an answer can be
-     * lost for good, with a connection that went silent; each such loss would take one slot for ever, until the gate
-     * admits nothing. The hold time is far above any answer still to be expected, so at most one slot a hold time can
-     * be given out twice for a target that is merely that slow.
+     * <p>A target continues to execute abandoned requests, so their slots stay taken until the target answers. But an
+     * answer can be lost for good, for example on a connection that stops responding without being closed; each lost
+     * answer would occupy one slot permanently, until the gate admits nothing. The hold time is far above any delay of
+     * an answer that can still arrive, so a target that is merely that slow receives at most one request above its
+     * limit per hold time and slot.
      */
-    void reclaim(long now, Deliveries out) {
+    void reclaim(long now, DecisionNotifications out) {
         long hold = settings.abandonedHold().toNanos();
         for (GateEntry entry : List.copyOf(running)) {
             if (entry.remainingNanos(now) < -hold) {
@@ -182,33 +184,33 @@
                 draining);
     }
 
-    /** Completes the future once nothing is in flight or waits, now or with a later delivery. */
-    void whenIdle(CompletableFuture<Void> future, Deliveries out) {
-        waitingForIdle.add(future);
+    /** Completes the future once no request is in flight or queued: with this notification or a later one. */
+    void whenIdle(CompletableFuture<Void> future, DecisionNotifications out) {
+        idleFutures.add(future);
         completeIdle(out);
     }
 
-    private void enqueue(GateEntry entry, long now, Deliveries out) {
+    private void enqueue(GateEntry entry, long now, DecisionNotifications out) {
         if (queue.isEmpty()) {
-            standing.empty(now);
+            standing.markEmpty(now);
         }
         queue.add(entry);
         admitWaiting(now, out);
-        if (queue.size() > bound(now)) {
+        if (queue.size() > allowedQueueLength(now)) {
             refuse(queue.pollLast(), Reason.SHED_AT_TARGET, now, out);
         }
     }
 
-    /** A burst may fill the queue, a standing queue is cut. */
-    private double bound(long now) {
+    /** Returns the allowed queue length: a burst may fill the queue, a standing queue is cut. */
+    private double allowedQueueLength(long now) {
         int capacity = settings.queueCapacity();
-        if (!standing.stands(now, settings.queueInterval().toNanos())) {
+        if (!standing.isStanding(now, settings.queueInterval().toNanos())) {
             return capacity;
         }
         return Math.min(capacity, Math.max(MIN_BOUND, load(now).bound()));
     }
 
-    private void admitWaiting(long now, Deliveries out) {
+    private void admitWaiting(long now, DecisionNotifications out) {
         while (!queue.isEmpty() && running.size() < limit.at(now)) {
             GateEntry entry = queue.pollFirst();
             if (canFinish(entry, now)) {
@@ -218,19 +220,19 @@
             }
         }
         if (queue.isEmpty()) {
-            standing.empty(now);
+            standing.markEmpty(now);
         }
     }
 
-    /** With nothing in flight any request that has time left may show how long the target now takes. */
+    /** With nothing in flight, any request with time left may run, to measure how long the target takes now. */
     private boolean canFinish(GateEntry entry, long now) {
-        return running.isEmpty() ? entry.remainingNanos(now) > 0 : entry.fitsItsTime(times, now);
+        return running.isEmpty() ? entry.remainingNanos(now) > 0 : entry.fitsDeadline(times, now);
     }
 
-    private void admit(GateEntry entry, long now, Deliveries out) {
+    private void admit(GateEntry entry, long now, DecisionNotifications out) {
         checkAdmission(entry, now);
         if (running.isEmpty()) {
-            progressAt = now;
+            lastProgressAt = now;
         }
         entry.admit(now);
         running.add(entry);
@@ -251,8 +253,8 @@
                 "an admission before a more important request");
     }
 
-    /** The entry has left the queue or never was in it. */
-    private void refuse(GateEntry entry, Reason reason, long now, Deliveries out) {
+    /** Refuses an entry that is not or no longer in the queue. */
+    private void refuse(GateEntry entry, Reason reason, long now, DecisionNotifications out) {
         invariants.check(entry.state() == GateEntry.State.QUEUED, "a refusal of a decided request");
         counts.refused(entry.request().rank(), reason);
         events.refused(entry, reason, now);
@@ -261,7 +263,7 @@
         completeIdle(out);
     }
 
-    private void learn(GateEntry entry, Completion completion, long now) {
+    private void recordCompletion(GateEntry entry, Completion completion, long now) {
         long took = entry.runNanos(now);
         if (completion == Completion.SUCCEEDED || completion == Completion.ABANDONED_DONE) {
             times.add(entry.kind(), took, now);
@@ -280,18 +282,21 @@
 
     private LevelController.Load load(long now) {
         return LevelController.Load.of(
-                limit.at(now), running.size(), queue.size(), times.expected(now), now - progressAt);
+                limit.at(now), running.size(), queue.size(), times.expected(now), now - lastProgressAt);
     }
 
-    /** A queue before slow or few slots moves one place at a time; a wait of a few such moves is no standing queue. */
-    private long targetNanos(long now) {
+    /**
+     * Returns the allowed wait in a standing queue. The queue of a target with slow or few slots advances one place at
+     * a time, so a wait of a few such moves does not indicate a standing queue.
+     */
+    private long standingWaitNanos(long now) {
         return Math.max(settings.queueTarget().toNanos(), (long) load(now).waitNanos());
     }
 
-    private void completeIdle(Deliveries out) {
-        if (running.isEmpty() && queue.isEmpty() && !waitingForIdle.isEmpty()) {
-            out.addIdle(List.copyOf(waitingForIdle));
-            waitingForIdle.clear();
+    private void completeIdle(DecisionNotifications out) {
+        if (running.isEmpty() && queue.isEmpty() && !idleFutures.isEmpty()) {
+            out.addIdle(List.copyOf(idleFutures));
+            idleFutures.clear();
         }
     }
 }
--- a/src/main/java/io/beryldock/admission/GateCounts.java
+++ b/src/main/java/io/beryldock/admission/GateCounts.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Decisions of a gate counted since it was made. Guarded by the gate's lock. */
+/** Counts of a gate's decisions since its creation. Guarded by the gate's lock. */
 final class GateCounts {
 
     private final List<Map<Reason, Long>> shed = new ArrayList<>();
@@ -40,7 +40,7 @@
         return admitted;
     }
 
-    /** Whether each submitted request was decided once or still waits. */
+    /** Whether each submitted request is either decided exactly once or still queued. */
     boolean balanced(int queued) {
         return submitted == admitted + refused + queued;
     }
--- a/src/main/java/io/beryldock/admission/GateEntry.java
+++ b/src/main/java/io/beryldock/admission/GateEntry.java
@@ -4,22 +4,24 @@
 import java.util.Comparator;
 
 /**
- * One submitted request inside a gate, from its arrival to its end; the handle and the permit that are given out.
+ * A submitted request within a gate, from its arrival to its end. It serves as the handle and as the permit that
+ * callers receive.
  *
- * <p>Invariant: QUEUED to RUNNING to ABANDONED to ENDED, never backwards; a refused entry goes from QUEUED to ENDED.
- * The state is guarded by the gate's lock; the rest is immutable.
+ * <p>Invariant: the state moves from QUEUED to RUNNING to ABANDONED to ENDED, may skip ABANDONED and never moves back;
+ * a refused entry moves from QUEUED to ENDED. The state is guarded by the gate's lock. What {@link #applyKind} sets
+ * does not change once the entry is queued, and the rest is immutable.
  */
 final class GateEntry implements GateHandle, Permit {
 
     /**
-     * More important first: rank, then those covered by credits, then more work sunk, then less slack, then the
-     * earlier.
+     * Orders the most important entry first: by rank, then entries covered by credits, then more work already spent,
+     * then less slack, then earlier arrival.
      *
-     * <p>Slack is measured when a request comes, so that the order of two requests never changes.
+     * <p>Slack is computed on arrival, so that the order of two entries never changes.
      */
     static final Comparator<GateEntry> BY_IMPORTANCE = GateEntry::compareImportance;
 
-    private static final long SUNK_STEP_NANOS = 1_000_000;
+    private static final long SUNK_RESOLUTION_NANOS = 1_000_000;
 
     private final TargetGate gate;
     private final GateRequest request;
@@ -45,7 +47,7 @@
         this.order = order;
     }
 
-    /** Where the request stands. */
+    /** State of a request within the gate. */
     enum State {
         QUEUED,
         RUNNING,
@@ -75,20 +77,23 @@
         return state == State.RUNNING || state == State.ABANDONED;
     }
 
-    /** Takes what is known of its kind when it comes, before it is queued. */
-    void learnKind(ServiceTimes times, long now) {
+    /** Applies the known service time of the request's kind. Called on arrival, before the request is queued. */
+    void applyKind(ServiceTimes times, long now) {
         kind = request.kind();
         latestStart = deadline - times.aboveMean(kind);
-        probe = !fitsItsTime(times, now) && times.takeProbe(kind, now);
+        probe = !fitsDeadline(times, now) && times.takeProbe(kind, now);
     }
 
-    /** The kind by which its time is told; none where kinds are not told apart. */
+    /**
+     * The kind that determines the expected service time, or {@link RequestKind#NONE} where kinds are not
+     * distinguished.
+     */
     int kind() {
         return kind;
     }
 
-    /** Whether it can finish when it starts now. */
-    boolean fitsItsTime(ServiceTimes times, long now) {
+    /** Whether the request can finish before its deadline if it starts now. */
+    boolean fitsDeadline(ServiceTimes times, long now) {
         double expected = probe ? 0 : times.expected(kind, now);
         return remainingNanos(now) > expected;
     }
@@ -124,8 +129,8 @@
         retryAfterMillis = retryAfter;
     }
 
-    /** Tells the listener what was decided; called once, by the thread that decided. */
-    void tellDecision() {
+    /** Notifies the listener of the decision; called exactly once, by the thread that made the decision. */
+    void notifyListener() {
         if (refusal == null) {
             listener.admitted(this);
         } else {
@@ -142,7 +147,8 @@
         if (byCover != 0) {
             return byCover;
         }
-        int bySunk = Long.compare(b.request.sunkNanos() / SUNK_STEP_NANOS, a.request.sunkNanos() / SUNK_STEP_NANOS);
+        int bySunk = Long.compare(
+                b.request.sunkNanos() / SUNK_RESOLUTION_NANOS, a.request.sunkNanos() / SUNK_RESOLUTION_NANOS);
         if (bySunk != 0) {
             return bySunk;
         }
--- a/src/main/java/io/beryldock/admission/GateEvents.java
+++ b/src/main/java/io/beryldock/admission/GateEvents.java
@@ -9,53 +9,55 @@
 import java.util.Optional;
 
 /**
- * Writes what a gate does to the time line, so that an operator sees causes and not a flood.
+ * Records a gate's actions on the timeline, limited so that operators see causes and not a flood of events.
  *
- * <p>Refusals are sampled and counted; the level is written when it crosses into another rank, the limit when it has
- * moved by a fifth, each at most once in {@link #QUIET_NANOS}. Guarded by the gate's lock.
+ * <p>Refusals are sampled and counted. The level is recorded when it crosses into another rank and the limit when it
+ * has changed by more than a fifth, each at most once per {@link #MIN_EVENT_INTERVAL_NANOS}. Guarded by the gate's
+ * lock.
  */
 final class GateEvents {
 
-    private static final long QUIET_NANOS = 500_000_000L;
-    private static final double LIMIT_STEP = 0.2;
+    private static final long MIN_EVENT_INTERVAL_NANOS = 500_000_000L;
+    private static final double MIN_LIMIT_CHANGE = 0.2;
 
     private final EventSink events;
     private final String subject;
-    private final EventSampler sheds;
+    private final EventSampler shedSampler;
     private int level = ServiceLevel.OPEN;
-    private long levelAt;
+    private long levelRecordedAt;
     private int limit;
-    private long limitAt;
+    private long limitRecordedAt;
 
     GateEvents(EventSink events, ServiceName service, int limit, long now) {
         this.events = events;
         this.subject = service.value();
-        this.sheds = new EventSampler(events, EventKind.SHED_AT_TARGET);
+        this.shedSampler = new EventSampler(events, EventKind.SHED_AT_TARGET);
         this.limit = limit;
-        this.levelAt = now - QUIET_NANOS;
-        this.limitAt = now - QUIET_NANOS;
+        this.levelRecordedAt = now - MIN_EVENT_INTERVAL_NANOS;
+        this.limitRecordedAt = now - MIN_EVENT_INTERVAL_NANOS;
     }
 
     void refused(GateEntry entry, Reason reason, long now) {
-        if (sheds.take(now)) {
+        if (shedSampler.take(now)) {
             String detail = "rank " + entry.request().rank() + ": " + reason.message();
-            sheds.record(Optional.of(entry.request().id()), subject, detail);
+            shedSampler.record(Optional.of(entry.request().id()), subject, detail);
         }
     }
 
     void level(int current, long now) {
-        if (current / ServiceLevel.STEPS != level / ServiceLevel.STEPS && now - levelAt >= QUIET_NANOS) {
+        if (current / ServiceLevel.STEPS != level / ServiceLevel.STEPS
+                && now - levelRecordedAt >= MIN_EVENT_INTERVAL_NANOS) {
             events.record(EventKind.LEVEL_CHANGED, subject, "admission level from " + level + " to " + current);
             level = current;
-            levelAt = now;
+            levelRecordedAt = now;
         }
     }
 
     void limit(int current, long now) {
-        if (Math.abs(current - limit) > LIMIT_STEP * limit && now - limitAt >= QUIET_NANOS) {
+        if (Math.abs(current - limit) > MIN_LIMIT_CHANGE * limit && now - limitRecordedAt >= MIN_EVENT_INTERVAL_NANOS) {
             events.record(EventKind.LIMIT_CHANGED, subject, "concurrency limit from " + limit + " to " + current);
             limit = current;
-            limitAt = now;
+            limitRecordedAt = now;
         }
     }
 }
--- a/src/main/java/io/beryldock/admission/GateHandle.java
+++ b/src/main/java/io/beryldock/admission/GateHandle.java
@@ -1,12 +1,12 @@
 package io.beryldock.admission;
 
-/** A submitted request that can be given up. Thread safe. */
+/** Handle for cancelling a submitted request. Thread safe. */
 @FunctionalInterface
 public interface GateHandle {
 
     /**
-     * Takes the request out of the queue, which refuses it with {@code CANCELLED}; a request that was admitted is
-     * marked abandoned and keeps its slot until its permit is released. Idempotent.
+     * Cancels the request. A queued request is removed from the queue and refused with {@code CANCELLED}; a request
+     * that was admitted is marked abandoned and keeps its slot until its permit is released. Idempotent.
      */
     void cancel();
 }
--- a/src/main/java/io/beryldock/admission/GateRequest.java
+++ b/src/main/java/io/beryldock/admission/GateRequest.java
@@ -5,15 +5,15 @@
 import java.util.Objects;
 
 /**
- * What the gate needs to know of a request.
+ * Properties of a request that the gate's decision depends on.
  *
  * <p>Immutable.
  *
  * @param rank rank of its priority class, 0 is the most important
  * @param callerHash from {@link CallerHash}
- * @param sunkNanos target time already spent for its root request
+ * @param sunkNanos target time already spent on its root request
  * @param remainingNanos time left until its deadline, counted from the submission
- * @param covered whether its entry holds credits for its whole tree
+ * @param covered whether its entry node holds credits for its whole call tree
  * @param kind from {@link RequestKind}
  */
 public record GateRequest(
@@ -26,7 +26,7 @@
         }
     }
 
-    /** A request that is not covered by credits, of no kind of its own. */
+    /** Creates a request that is not covered by credits and whose kind is not distinguished. */
     public GateRequest(RequestId id, int rank, int callerHash, long sunkNanos, long remainingNanos) {
         this(id, rank, callerHash, sunkNanos, remainingNanos, false, RequestKind.NONE);
     }
--- a/src/main/java/io/beryldock/admission/GateSettings.java
+++ b/src/main/java/io/beryldock/admission/GateSettings.java
@@ -8,18 +8,20 @@
  *
  * <p>Immutable.
  *
- * @param strategy finds the concurrency limit
- * @param minLimit the limit never falls below it
- * @param initialLimit where a new gate starts
- * @param maxLimit the limit never rises above it
- * @param announcedSlots what the target announced, a hard bound of the limit; 0 when it announced nothing
+ * @param strategy computes the concurrency limit
+ * @param minLimit lower bound of the limit
+ * @param initialLimit limit of a cold target
+ * @param maxLimit upper bound of the limit
+ * @param announcedSlots slots that the target announced, a hard bound of the limit; 0 when it announced none
  * @param usableShare share of the announced slots that is used, for targets that slow down when nearly full
- * @param timesByKind whether kinds of requests are told apart, for targets whose kinds differ much in service time
- * @param queueCapacity requests that may wait
- * @param queueTarget wait allowed while the queue stands
- * @param queueInterval wait allowed in a burst, and the time after which a queue that never emptied stands
- * @param rampTime how long a cold target takes to be given all its slots
- * @param abandonedHold how long abandoned work keeps its slot when the target's answer never comes
+ * @param timesByKind whether service times are tracked per kind of request, for targets whose kinds differ much in
+ *     service time
+ * @param queueCapacity maximum number of queued requests
+ * @param queueTarget wait allowed in a standing queue
+ * @param queueInterval wait allowed in a burst; a queue that has not been empty for longer than this is a standing
+ *     queue
+ * @param rampTime time over which a cold target is given all its slots
+ * @param abandonedHold time past its deadline for which a request keeps its slot when the target never answers
  */
 public record GateSettings(
         LimitStrategy strategy,
@@ -35,8 +37,8 @@
         Duration rampTime,
         Duration abandonedHold) {
 
-    /** Slots of a target from which on one may be left free. */
-    static final int FEWEST_TO_SPARE_ONE = 5;
+    /** Smallest number of announced slots of which one may be left free. */
+    static final int MIN_SLOTS_FOR_HEADROOM = 5;
 
     public GateSettings {
         Objects.requireNonNull(strategy, "strategy");
@@ -70,43 +72,43 @@
     }
 
     /**
-     * Settings for targets whose announced slots are what they can really run at once.
+     * Settings for targets whose announced slots match the number of requests that they can run at once.
      *
-     * <p>The limit is the announced slots from the first request on. A limit that is learned, or that rises with the
-     * answers from a few, keeps most slots idle: gates of 55 slots before work of 0.4 s took 5 s of a burst to give
-     * them out, after each start of a node.
+     * <p>The limit equals the announced slots from the first request on. A limit that is learned, or that ramps up with
+     * the answers from a small initial value, leaves most slots idle: gates with 55 slots and a service time of 0.4 s
+     * needed 5 s of a burst to use all slots, after each start of a node.
      */
     public static GateSettings ofAnnouncedSlots() {
-        GateSettings usual = defaults();
-        return usual.withStrategy(LimitStrategies.fixed(usual.maxLimit())).withInitialLimit(usual.maxLimit());
+        GateSettings defaults = defaults();
+        return defaults.withStrategy(LimitStrategies.fixed(defaults.maxLimit())).withInitialLimit(defaults.maxLimit());
     }
 
-    /** The same settings for a target that announced this many slots; 0 when it announced nothing. */
+    /** Returns these settings for a target that announced this many slots; 0 when it announced none. */
     public GateSettings withAnnouncedSlots(int slots) {
         return with(strategy, initialLimit, slots, usableShare, timesByKind);
     }
 
-    /** The same settings with another way to find the limit. */
+    /** Returns these settings with another strategy for the limit. */
     public GateSettings withStrategy(LimitStrategy other) {
         return with(other, initialLimit, announcedSlots, usableShare, timesByKind);
     }
 
-    /** The same settings with another limit for a target that is cold. */
+    /** Returns these settings with another limit for a cold target. */
     public GateSettings withInitialLimit(int limit) {
         return with(strategy, limit, announcedSlots, usableShare, timesByKind);
     }
 
-    /** The same settings with another share of the announced slots that is used. */
+    /** Returns these settings with another usable share of the announced slots. */
     public GateSettings withUsableShare(double share) {
         return with(strategy, initialLimit, announcedSlots, share, timesByKind);
     }
 
-    /** The same settings with kinds of requests told apart or not. */
-    public GateSettings withTimesByKind(boolean apart) {
-        return with(strategy, initialLimit, announcedSlots, usableShare, apart);
+    /** Returns these settings with or without service times per kind of request. */
+    public GateSettings withTimesByKind(boolean byKind) {
+        return with(strategy, initialLimit, announcedSlots, usableShare, byKind);
     }
 
-    private GateSettings with(LimitStrategy limits, int initial, int slots, double share, boolean apart) {
+    private GateSettings with(LimitStrategy limits, int initial, int slots, double share, boolean byKind) {
         return new GateSettings(
                 limits,
                 minLimit,
@@ -114,7 +116,7 @@
                 maxLimit,
                 slots,
                 share,
-                apart,
+                byKind,
                 queueCapacity,
                 queueTarget,
                 queueInterval,
@@ -122,17 +124,20 @@
                 abandonedHold);
     }
 
-    /** The highest limit allowed. */
+    /** Returns the upper bound of the limit. */
     int bound() {
         return announcedSlots > 0 ? Math.min(usableSlots(), maxLimit) : maxLimit;
     }
 
-    /** Of few slots none is left free: one of them is worth more than what the others gain. */
+    /** Targets with few slots use all of them: leaving one free would cost more than the remaining slots gain. */
     private int usableSlots() {
-        return announcedSlots < FEWEST_TO_SPARE_ONE ? announcedSlots : (int) (usableShare * announcedSlots);
+        return announcedSlots < MIN_SLOTS_FOR_HEADROOM ? announcedSlots : (int) (usableShare * announcedSlots);
     }
 
-    /** Where the strategy starts: at the announced slots, which it may then lower, else at the initial limit. */
+    /**
+     * Returns the limit that the strategy starts from: the announced slots, which the strategy may then lower, or else
+     * the initial limit.
+     */
     int startLimit() {
         return announcedSlots > 0 ? bound() : initialLimit;
     }
--- a/src/main/java/io/beryldock/admission/GateSnapshot.java
+++ b/src/main/java/io/beryldock/admission/GateSnapshot.java
@@ -8,14 +8,14 @@
 import java.util.Collection;
 
 /**
- * State of a gate at one moment, for operators and metrics.
+ * State of a gate at one point in time, for operators and metrics.
  *
  * <p>Immutable.
  *
- * @param queuedByRank requests that wait, one number a rank
- * @param shedByRank refusals since the gate was made, one map a rank
+ * @param queuedByRank number of queued requests, one element per rank
+ * @param shedByRank refusals since the gate was created, one map per rank
  * @param level admission level, see {@link io.beryldock.call.ServiceLevel}
- * @param minServiceNanos shortest smoothed service time of the recent past, 0 when unknown
+ * @param minServiceNanos shortest mean service time of a recent window, 0 when unknown
  * @param meanServiceNanos smoothed service time, 0 when unknown
  */
 public record GateSnapshot(
@@ -43,7 +43,7 @@
                 .count();
     }
 
-    /** All requests that wait. */
+    /** Total number of queued requests. */
     public int queued() {
         return queuedByRank.stream().mapToInt(Integer::intValue).sum();
     }
--- a/src/main/java/io/beryldock/admission/Invariants.java
+++ b/src/main/java/io/beryldock/admission/Invariants.java
@@ -5,8 +5,8 @@
 import io.beryldock.timeline.EventSink;
 
 /**
- * Reports broken invariants of one aggregate to the time line and the log, and goes on: refusing to work on would cut
- * off more requests than the broken promise. Thread safe.
+ * Reports violated invariants of one aggregate to the timeline and the log. Processing continues: refusing to continue
+ * would fail more requests than the violation itself. Thread safe.
  */
 final class Invariants {
 
@@ -20,10 +20,10 @@
         this.subject = subject;
     }
 
-    void check(boolean holds, String what) {
+    void check(boolean holds, String violation) {
         if (!holds) {
-            log.atSevere().log("invariant broken at %s: %s", subject, what);
-            events.record(EventKind.INVARIANT_BROKEN, subject, what);
+            log.atSevere().log("invariant broken at %s: %s", subject, violation);
+            events.record(EventKind.INVARIANT_BROKEN, subject, violation);
         }
     }
 }
--- a/src/main/java/io/beryldock/admission/KindTimes.java
+++ b/src/main/java/io/beryldock/admission/KindTimes.java
@@ -4,21 +4,24 @@
 import java.util.Map;
 
 /**
- * Service times of a target by kind of request: kinds may differ so much that the mean of all would let long
- * ones begin that can't finish and turn short ones away that can.
+ * Service times of a target by kind of request. Kinds may differ so much that the mean over all kinds would admit long
+ * requests that cannot finish in time and refuse short ones that can.
  *
- * <p>A kind is known from its first answer. Memory is bounded: where many kinds are asked for, those that were not
- * answered for long make room, else new ones are not told apart. Guarded by the gate's lock.
+ * <p>A kind is tracked from its first answer on. Memory is bounded: when the maximum number of kinds is reached, kinds
+ * without a recent answer are evicted; if there are none, new kinds are not tracked. Guarded by the gate's lock.
  */
 final class KindTimes {
 
-    /** More kinds than a service has routes and callers in most places. */
+    /** Maximum number of tracked kinds; above the number of routes and callers that most services have. */
     private static final int MAX_KINDS = 64;
 
-    /** A kind without an answer for that long may be forgotten. */
+    /** Time without an answer after which a kind may be evicted. */
     private static final long STALE_NANOS = 30_000_000_000L;
 
-    /** How often a request of an unknown kind may run to make it known, whatever others take. */
+    /**
+     * Minimum time between two probes, which are requests of an unknown kind that are admitted to measure its service
+     * time even if the requests of other kinds take too long.
+     */
     private static final long PROBE_NANOS = 100_000_000L;
 
     private final Map<Integer, SmoothedTime> kinds = new HashMap<>();
@@ -39,19 +42,25 @@
         }
     }
 
-    /** The time expected of the kind, or that of all kinds when it is unknown. */
+    /** Returns the expected time of the kind, or that over all kinds when the kind is unknown. */
     double expected(int kind, SmoothedTime all, long now) {
         SmoothedTime known = kinds.get(kind);
         return known == null ? all.expected(now) : known.expected(now);
     }
 
-    /** How much longer than the mean of all the kind takes, below 0 when shorter; 0 while it is unknown. */
+    /**
+     * Returns the difference between the mean of the kind and the mean over all kinds, negative when the kind is
+     * faster; 0 while the kind is unknown.
+     */
     double aboveMean(int kind, SmoothedTime all) {
         SmoothedTime known = kinds.get(kind);
         return known == null ? 0 : known.mean() - all.mean();
     }
 
-    /** Whether a request may run to make its kind known, though all others take longer than it has. */
+    /**
+     * Whether a request may run as a probe to measure its kind, even if the mean over all kinds exceeds its remaining
+     * time.
+     */
     boolean takeProbe(int kind, long now) {
         boolean due = !probed || now - probedAt >= PROBE_NANOS;
         if (kind == RequestKind.NONE || !due || kinds.containsKey(kind) || !hasRoom(now)) {
--- a/src/main/java/io/beryldock/admission/LevelController.java
+++ b/src/main/java/io/beryldock/admission/LevelController.java
@@ -3,32 +3,36 @@
 import io.beryldock.call.ServiceLevel;
 
 /**
- * Sets a target's admission level so that what entries let through fits what the target can do.
+ * Sets a target's admission level so that the requests that entry nodes admit match the target's capacity.
  *
- * <p>Each step puts the level where the demand below it equals the target's capacity, corrected by how far the queue is
- * from its goal. The level follows from measured demand and capacity and keeps no sum of past errors: the targets of
- * one service share their entries, so sums kept by each would drift apart, one at shed-nearly-all and one open, while
- * together they fit the demand. The goal of the queue is the noise of arrivals within the delay after which entries act
- * on a level: with less the target idles, with more requests wait for nothing.
+ * <p>Each step sets the level at which the demand below it equals the target's capacity, corrected by the deviation of
+ * the queue from its goal. The level is computed from measured demand and capacity without an integral of past errors:
+ * the targets of one service share their entry nodes, so integrals kept by each target would drift apart, with one
+ * target shedding nearly everything and another open, while together they match the demand. The goal of the queue is
+ * the random variation of arrivals within the delay after which entry nodes act on a level: a shorter queue leaves the
+ * target idle at times, a longer one makes requests wait without benefit.
  *
- * <p>Invariant: the level stays within {@link #FLOOR} and {@link ServiceLevel#OPEN}. Guarded by the gate's lock.
+ * <p>Invariant: the level stays between {@link #FLOOR} and {@link ServiceLevel#OPEN}. Guarded by the gate's lock.
  */
 final class LevelController {
 
-    /** Time of one step. */
+    /** Duration of one step. */
     static final long STEP_NANOS = 20_000_000;
 
-    /** A trickle of rank 0 is always let through; without it nothing would show that the target has recovered. */
+    /**
+     * Lowest level. It always admits a small part of rank 0; otherwise no request would show that the target has
+     * recovered.
+     */
     static final int FLOOR = 4;
 
     private static final int MAX_CATCH_UP_STEPS = 200;
     private static final double QUEUE_GAIN = 0.5;
     private static final double MAX_CORRECTION = 0.5;
-    private static final double BUSY_WEIGHT = DemandMap.FAST_WEIGHT;
+    private static final double BUSY_WEIGHT = DemandByRank.FAST_WEIGHT;
     private static final double IDLE_BELOW = 0.7;
     private static final double MIN_BUSY = 0.1;
 
-    private final DemandMap demand = new DemandMap();
+    private final DemandByRank demand = new DemandByRank();
     private int level = ServiceLevel.OPEN;
     private long steppedAt;
     private double busy;
@@ -38,11 +42,11 @@
     }
 
     /**
-     * What the target can do and what waits for it.
+     * Capacity and load of a target.
      *
-     * @param capacityPerNano requests that it completes in a nanosecond when all its slots are busy
-     * @param busyShare part of its slots that are taken
-     * @param loopNanos delay after which entries act on a level
+     * @param capacityPerNano requests that the target completes per nanosecond when all its slots are busy
+     * @param busyShare share of its slots that are taken
+     * @param loopNanos delay after which entry nodes act on a level
      */
     record Load(double capacityPerNano, int queued, double busyShare, double loopNanos) {
 
@@ -54,44 +58,48 @@
         private static final double LOOP_PER_SERVICE_TIME = 2;
 
         /**
-         * The load of a target's slots.
+         * Computes the load of a target from its slots.
          *
-         * @param meanNanos time that a request is expected to take
-         * @param sinceProgressNanos time since a request began after idleness or ended
+         * @param meanNanos expected service time of a request
+         * @param sinceProgressNanos time since a request completed, or started on an idle target
          */
         static Load of(int slots, int running, int queued, double meanNanos, long sinceProgressNanos) {
             double mean = Math.max(1, meanNanos);
             double capacity = slots / mean;
             if (running >= slots) {
-                // A target that hangs ends nothing, so no service time shows it; the lack of several ends does.
+                // A hanging target completes nothing, so no service time reveals it; the absence of several completions
+                // does.
                 capacity = Math.min(capacity, STALL_GAPS / Math.max(1, sinceProgressNanos));
             }
             double busy = (double) running / slots;
             return new Load(capacity, queued, busy, LOOP_BASE_NANOS + LOOP_PER_SERVICE_TIME * mean);
         }
 
-        /** Queue length to aim at. */
+        /** Returns the queue length that the controller aims at. */
         double goal() {
             return 1 + GOAL_DEVIATIONS * arrivalsDeviation();
         }
 
-        /** Length above which a standing queue is cut. */
+        /** Returns the length above which a standing queue is cut. */
         double bound() {
             return 2 + BOUND_DEVIATIONS * arrivalsDeviation();
         }
 
-        /** Wait that a standing queue allows; the least important get only a small part of the capacity. */
+        /**
+         * Returns the wait that a standing queue allows. It is long because the least important requests receive only a
+         * small share of the capacity.
+         */
         double waitNanos() {
             return WAIT_DEVIATIONS * arrivalsDeviation() / capacityPerNano;
         }
 
-        double perLoop() {
+        double requestsPerLoop() {
             return capacityPerNano * loopNanos;
         }
 
         /** Standard deviation of the arrivals within one loop, as of a Poisson stream. */
         private double arrivalsDeviation() {
-            return Math.sqrt(perLoop());
+            return Math.sqrt(requestsPerLoop());
         }
     }
 
@@ -103,7 +111,7 @@
         return now - steppedAt >= STEP_NANOS;
     }
 
-    /** Makes the steps that are due. */
+    /** Performs the steps that are due. */
     void advance(long now, Load load) {
         int steps = 0;
         while (due(now)) {
@@ -118,24 +126,24 @@
 
     private void step(Load load) {
         demand.step(level);
-        double excess = (load.queued() - load.goal()) / load.perLoop();
+        double excess = (load.queued() - load.goal()) / load.requestsPerLoop();
         double correction = Math.max(-MAX_CORRECTION, Math.min(MAX_CORRECTION, QUEUE_GAIN * excess));
-        double fits = fitting(load);
-        level = Math.max(FLOOR, demand.level(fits * (1 - correction)));
+        double capacity = capacityPerStep(load);
+        level = Math.max(FLOOR, demand.level(capacity * (1 - correction)));
     }
 
     /**
-     * Requests that the target completes in a step when all its slots are busy.
+     * Returns the number of requests that the target completes per step when all its slots are busy.
      *
-     * <p>When an overload ends few requests arrive at first, so that the mean service time follows late and the level
-     * would rise late. But then slots are idle, and by Little's law arrivals over the busy share are the capacity.
+     * <p>When an overload ends, few requests arrive at first, so the mean service time lags and the level would rise
+     * late. Slots are idle then, and by Little's law the arrivals divided by the busy share equal the capacity.
      */
-    private double fitting(Load load) {
-        double fits = load.capacityPerNano() * STEP_NANOS;
+    private double capacityPerStep(Load load) {
+        double capacity = load.capacityPerNano() * STEP_NANOS;
         busy += BUSY_WEIGHT * (load.busyShare() - busy);
         if (load.queued() > 0 || busy >= IDLE_BELOW) {
-            return fits;
+            return capacity;
         }
-        return Math.max(fits, demand.recent() / Math.max(MIN_BUSY, busy));
+        return Math.max(capacity, demand.recent() / Math.max(MIN_BUSY, busy));
     }
 }
--- a/src/main/java/io/beryldock/admission/LevelReport.java
+++ b/src/main/java/io/beryldock/admission/LevelReport.java
@@ -10,21 +10,23 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What the inner calls of one run were told of the services beneath it, to be reported with the run's answer.
+ * Levels that the inner calls of one execution received from the services below it, to be reported with the execution's
+ * answer.
  *
- * <p>Kept for the run and no longer: a report names only services that a request of this kind meets, so that a search,
- * which calls nothing, is not shed for an overload beneath the orders of the same service; and services that call each
- * other in a circle can't keep an old report of each other alive. Thread safe.
+ * <p>A report lives no longer than its execution. It therefore names only services that a request of this kind calls,
+ * so that a search, which calls no other service, is not shed for an overload below the orders of the same service. It
+ * also prevents services that call each other in a cycle from keeping an outdated report of each other alive. Thread
+ * safe.
  */
 public final class LevelReport {
 
-    /** Most services that a report names, the run's own included. */
+    /** Maximum number of services that a report names, including the executing service itself. */
     static final int MAX_REPORTED = 8;
 
     private static final Comparator<ServiceLevel> WORST_FIRST =
             Comparator.comparingInt(ServiceLevel::level).thenComparing(ServiceLevel::service);
 
-    private final Map<ServiceName, ImmutableList<ServiceLevel>> byCalled = new ConcurrentHashMap<>();
+    private final Map<ServiceName, ImmutableList<ServiceLevel>> levelsByCalled = new ConcurrentHashMap<>();
 
     private LevelReport() {}
 
@@ -32,37 +34,37 @@
         return new LevelReport();
     }
 
-    /** Takes in what came with the answer of a called service; the last answer of each counts. */
+    /** Records the levels that came with the answer of a called service; the last answer of each service counts. */
     public void add(ServiceName called, ImmutableList<ServiceLevel> levels) {
         if (!levels.isEmpty()) {
-            byCalled.put(called, levels);
+            levelsByCalled.put(called, levels);
         }
     }
 
     /**
-     * The service's own level, then the worst of those beneath it.
+     * Returns the service's own level, followed by the lowest levels of the services below it.
      *
-     * <p>Those that admit all are named too. That a service is missing tells nothing: of some inner calls it can't be
-     * told which run makes them.
+     * <p>Services that admit all requests are included, because the absence of a service is not evidence that it admits
+     * all: some inner calls cannot be attributed to the execution that makes them.
      */
     public ImmutableList<ServiceLevel> with(ServiceLevel own) {
-        if (byCalled.isEmpty()) {
+        if (levelsByCalled.isEmpty()) {
             return ImmutableList.of(own);
         }
-        List<ServiceLevel> told = new ArrayList<>();
-        byCalled.values().forEach(told::addAll);
-        told.sort(WORST_FIRST);
+        List<ServiceLevel> received = new ArrayList<>();
+        levelsByCalled.values().forEach(received::addAll);
+        received.sort(WORST_FIRST);
         List<ServiceLevel> reported = new ArrayList<>(MAX_REPORTED);
         reported.add(own);
-        for (ServiceLevel level : told) {
-            if (reported.size() < MAX_REPORTED && !names(reported, level.service())) {
+        for (ServiceLevel level : received) {
+            if (reported.size() < MAX_REPORTED && !containsService(reported, level.service())) {
                 reported.add(level);
             }
         }
         return ImmutableList.copyOf(reported);
     }
 
-    private static boolean names(List<ServiceLevel> levels, ServiceName service) {
+    private static boolean containsService(List<ServiceLevel> levels, ServiceName service) {
         for (ServiceLevel level : levels) {
             if (level.service().equals(service)) {
                 return true;
--- a/src/main/java/io/beryldock/admission/LevelSamples.java
+++ b/src/main/java/io/beryldock/admission/LevelSamples.java
@@ -4,27 +4,27 @@
 import java.util.Arrays;
 
 /**
- * The last levels that answers reported of one service.
+ * The last levels that answers reported for one service, of which the median is used.
  *
- * <p>Their middle one counts: of a service with several targets one bad target shows in some of the answers and must
- * not shed the requests that the others would serve, while an overload of all shows in most. Samples older than
- * {@link #FRESH_NANOS} are left out while there is a younger one, so that at few answers a second the last decides.
- * What was before the first sample counts as open. Not thread safe.
+ * <p>If a service has several targets, one overloaded target appears in some of the answers and must not shed the
+ * requests that the other targets would serve, while an overload of all targets appears in most answers. Samples older
+ * than {@link #FRESH_NANOS} are ignored while there is a younger one, so that the last sample decides at a rate of few
+ * answers per second. The time before the first sample counts as open. Not thread safe.
  */
 final class LevelSamples {
 
     static final long FRESH_NANOS = 500_000_000L;
     private static final int SIZE = 7;
-    private static final int OPEN_BEFORE = 3;
+    private static final int INITIAL_OPEN_SAMPLES = 3;
 
     private final int[] levels = new int[SIZE];
     private final long[] times = new long[SIZE];
     private int count;
     private int next;
 
-    static LevelSamples startingOpen(long now) {
+    static LevelSamples initiallyOpen(long now) {
         LevelSamples samples = new LevelSamples();
-        for (int i = 0; i < OPEN_BEFORE; i++) {
+        for (int i = 0; i < INITIAL_OPEN_SAMPLES; i++) {
             samples.add(ServiceLevel.OPEN, now);
         }
         return samples;
@@ -45,8 +45,11 @@
         return (next + SIZE - 1) % SIZE;
     }
 
-    /** The middle of the fresh samples, the mean of the middle two; the last sample when none is fresh. */
-    int middle(long now) {
+    /**
+     * Returns the median of the fresh samples, which is the mean of the middle two for an even number of them, or the
+     * last sample when none is fresh.
+     */
+    int median(long now) {
         int[] fresh = new int[SIZE];
         int found = 0;
         for (int i = 0; i < count; i++) {
--- a/src/main/java/io/beryldock/admission/LimitStrategies.java
+++ b/src/main/java/io/beryldock/admission/LimitStrategies.java
@@ -1,10 +1,10 @@
 package io.beryldock.admission;
 
 /**
- * The known ways to find a concurrency limit.
+ * Strategies for the concurrency limit.
  *
- * <p>All but the fixed one raise the limit only while it holds work back. Bounds are applied by the caller, so that the
- * announced slots bound each of them. Stateless, thread safe.
+ * <p>All strategies except the fixed one raise the limit only while it delays requests. The caller applies the bounds,
+ * so that the announced slots bound the result of each strategy. Stateless and thread safe.
  */
 public final class LimitStrategies {
 
@@ -18,28 +18,36 @@
 
     private LimitStrategies() {}
 
-    /** Always the same limit. */
+    /** Returns a strategy with a constant limit. */
     public static LimitStrategy fixed(int limit) {
         return window -> limit;
     }
 
     /**
-     * The default: announced slots are trusted until the target refuses requests, else as {@link #vegas}.
+     * Returns the default strategy: it keeps the limit at the announced slots until the target refuses requests. For
+     * targets without announced slots it is the same as {@link #vegas}.
      *
-     * <p>Service times of a target that is slow look like those of one with a queue inside; with its slots known the
-     * limit need not fall for that, and a slow target keeps all its slots busy. See docs/DECISIONS/0004.
+     * <p>The service times of a slow target look like those of a target with an internal queue. When the slots are
+     * known, the limit need not fall for this reason, and a slow target keeps all its slots busy. See
+     * docs/DECISIONS/0004.
      */
     public static LimitStrategy standard() {
         LimitStrategy unannounced = vegas();
         return window -> window.announced() ? backOff(window, window.refused()) : unannounced.next(window);
     }
 
-    /** One more after a window that used the limit up, a tenth less after refusals or late answers. */
+    /**
+     * Returns a strategy that adds 1 after a window that used the limit up, and subtracts a tenth after refusals or
+     * late answers.
+     */
     public static LimitStrategy aimd() {
         return window -> backOff(window, window.refused() + window.late());
     }
 
-    /** Less in the ratio by which the service time exceeds its long average, more by the root of the limit. */
+    /**
+     * Returns a strategy that lowers the limit by the ratio of the long-term mean service time to the current one, and
+     * raises it by the square root of the limit.
+     */
     public static LimitStrategy gradient() {
         return window -> {
             if (window.meanNanos() == 0) {
@@ -52,7 +60,10 @@
         };
     }
 
-    /** Keeps the queue inside the target, estimated from the shortest service time, between two bounds. */
+    /**
+     * Returns a strategy that keeps the queue inside the target, estimated from the shortest service time, between two
+     * bounds.
+     */
     public static LimitStrategy vegas() {
         return window -> {
             if (window.meanNanos() == 0) {
@@ -73,6 +84,6 @@
     }
 
     private static double raised(LimitWindow window, double by) {
-        return window.limited() ? window.limit() + by : window.limit();
+        return window.limitReached() ? window.limit() + by : window.limit();
     }
 }
--- a/src/main/java/io/beryldock/admission/LimitStrategy.java
+++ b/src/main/java/io/beryldock/admission/LimitStrategy.java
@@ -1,6 +1,6 @@
 package io.beryldock.admission;
 
-/** Decides the next concurrency limit of a target from what the last window showed. A pure function. */
+/** Computes the next concurrency limit of a target from the observations of the last window. A pure function. */
 @FunctionalInterface
 public interface LimitStrategy {
 
--- a/src/main/java/io/beryldock/admission/LimitWindow.java
+++ b/src/main/java/io/beryldock/admission/LimitWindow.java
@@ -1,18 +1,18 @@
 package io.beryldock.admission;
 
 /**
- * What was seen of a target since its limit was last decided.
+ * Observations of a target since its limit was last updated.
  *
  * <p>Immutable.
  *
  * @param announced whether the target announced its slots, which bound the limit
  * @param limit the limit in force
- * @param peakInFlight the most requests in flight at once
- * @param completed requests that the target ran to their end
- * @param refused requests that the target refused with its marker
- * @param late those of the completed whose caller had given up before
- * @param meanNanos mean service time of the completed ones, 0 when there are none
- * @param minNanos shortest smoothed service time of the recent past, which stands for an idle target
+ * @param peakInFlight the highest number of requests in flight at once
+ * @param completed requests that the target ran to completion
+ * @param refused requests that the target refused with its not-executed marker
+ * @param late completed requests whose caller had cancelled or whose deadline had passed before
+ * @param meanNanos mean service time of the completed requests, 0 when there are none
+ * @param minNanos shortest mean service time of a recent window, used as the service time of an idle target
  * @param longNanos mean service time over the recent past
  */
 public record LimitWindow(
@@ -26,8 +26,8 @@
         double minNanos,
         double longNanos) {
 
-    /** Whether the limit itself kept work back, so that a higher one could have been used. */
-    boolean limited() {
+    /** Whether the limit itself delayed requests, so that a higher one could have been used. */
+    boolean limitReached() {
         return peakInFlight + 1 >= limit;
     }
 }
--- a/src/main/java/io/beryldock/admission/Permit.java
+++ b/src/main/java/io/beryldock/admission/Permit.java
@@ -1,9 +1,9 @@
 package io.beryldock.admission;
 
-/** One slot of a target, held by a running request. Thread safe. */
+/** A slot of a target, held by a running request. Thread safe. */
 @FunctionalInterface
 public interface Permit {
 
-    /** Gives the slot back; only the first call counts. */
+    /** Releases the slot; only the first call has an effect. */
     void release(Completion completion);
 }
--- a/src/main/java/io/beryldock/admission/RequestKind.java
+++ b/src/main/java/io/beryldock/admission/RequestKind.java
@@ -3,20 +3,21 @@
 import io.beryldock.call.Call;
 
 /**
- * Number of a kind of request whose service times are alike: those of one caller, method and beginning of the path.
+ * Number that identifies a kind of request with similar service times: the requests with the same caller, method and
+ * first segment of the path.
  *
- * <p>Two kinds may share a number, which then stands for both. Stateless, thread safe.
+ * <p>It is a hash: two kinds may share a number and are then treated as one. Stateless and thread safe.
  */
 public final class RequestKind {
 
-    /** Stands for requests that are not told apart. */
+    /** Number of requests whose kinds are not distinguished. */
     public static final int NONE = 0;
 
     private static final int FACTOR = 31;
 
     private RequestKind() {}
 
-    /** The kind of a call; its path counts up to the second slash or the query. */
+    /** Returns the kind of a call; its path counts up to the second slash or the query. */
     public static int of(Call call) {
         int hash = FACTOR * call.caller().hashCode() + call.method().hashCode();
         String path = call.path();
--- a/src/main/java/io/beryldock/admission/RetryAfter.java
+++ b/src/main/java/io/beryldock/admission/RetryAfter.java
@@ -3,17 +3,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When refused callers may come back.
+ * Computes the delay after which refused callers may retry.
  *
- * <p>Spread evenly over a range: callers refused together would otherwise all come back together and overload the
- * target anew at that moment. Stateless but for the generator, thread safe when that is.
+ * <p>The delays are spread evenly over a range: callers that are refused together would otherwise all return together
+ * and overload the target again. Stateless except for the generator; thread safe when the generator is.
  */
 final class RetryAfter {
 
-    /** Levels follow an overload within some tenths of a second; a caller that comes earlier meets the same level. */
+    /** Levels follow an overload within some tenths of a second; a caller that retries earlier meets the same level. */
     private static final int MIN_MILLIS = 200;
 
-    /** With it callers are back in half a second on average, in time for most objectives of pages. */
+    /** With this range callers retry after half a second on average, in time for most page load objectives. */
     private static final int SPREAD_MILLIS = 600;
 
     private RetryAfter() {}
--- a/src/main/java/io/beryldock/admission/RouteLevel.java
+++ b/src/main/java/io/beryldock/admission/RouteLevel.java
@@ -10,19 +10,19 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What an entry has learned of one service and of those beneath it.
+ * Levels that an entry node has learned for one service and for the services below it.
  *
- * <p>Levels are learned from the answers to requests of all ranks, but hold for a rank only where its own requests met
- * the service: a search that calls nothing must not be shed for an overload that only the orders of the same service
- * run into, while an order's answer tells the entry that a search may come again.
+ * <p>Levels are learned from the answers to requests of all ranks, but apply to a rank only where its own requests
+ * called the service: a search that calls no other service must not be shed for an overload that only the orders of the
+ * same service run into, while the answer to an order can show that searches may be admitted again.
  *
- * <p>Ageing: without answers a level holds for {@link #HOLD_NANOS}, then rises evenly, and is open
- * {@link #OPEN_AFTER_NANOS} after the last answer. Probes: an entry all of whose requests are shed gets no answers and
- * would learn of the end of an overload only by ageing; so when no answer came for the probe interval one request is
- * let through. The interval doubles while probes bring no change, so that probes stay a trickle.
+ * <p>Ageing: without answers a level holds for {@link #HOLD_NANOS}, then rises linearly, and is open {@link
+ * #OPEN_AFTER_NANOS} after the last answer. Probes: an entry node that sheds all its requests gets no answers and would
+ * learn of the end of an overload only by ageing, so it admits one request when no answer arrived within the probe
+ * interval. The interval doubles while probes bring no change, so that probes remain rare.
  *
- * <p>Invariant: the level of a rank is the lowest among the services that it met. Thread safe: learning takes a lock,
- * reading none.
+ * <p>Invariant: the level of a rank is the lowest among the services that its requests called. Thread safe: updates
+ * take a lock, reads take none.
  */
 final class RouteLevel {
 
@@ -34,33 +34,33 @@
     private static final int ALL_RANKS = (1 << PriorityClass.RANKS) - 1;
 
     private final ServiceName root;
-    private final Map<ServiceName, Known> known = new HashMap<>();
+    private final Map<ServiceName, ServiceSamples> samplesByService = new HashMap<>();
     private final AtomicLong lastProbe = new AtomicLong(Long.MIN_VALUE);
-    private volatile ImmutableList<Learned> closed = ImmutableList.of();
+    private volatile ImmutableList<LearnedLevel> closed = ImmutableList.of();
     private volatile long probeInterval = MIN_PROBE_NANOS;
 
     RouteLevel(ServiceName root) {
         this.root = root;
     }
 
-    /** What was told of one service, and for which ranks it holds. Guarded by the lock of the route. */
-    private static final class Known {
+    /** Samples of one service and the ranks that they apply to. Guarded by the lock of the route. */
+    private static final class ServiceSamples {
         private final LevelSamples samples;
         private int ranks;
 
-        Known(int ranks, long now) {
+        ServiceSamples(int ranks, long now) {
             this.ranks = ranks;
-            this.samples = LevelSamples.startingOpen(now);
+            this.samples = LevelSamples.initiallyOpen(now);
         }
     }
 
     /**
-     * A service that does not admit all.
+     * Level of a service that does not admit all requests.
      *
-     * @param ranks one bit for each rank that the level holds for
-     * @param at when the last answer told of it
+     * @param ranks bit mask of the ranks that the level applies to
+     * @param at time of the last answer that reported the service
      */
-    private record Learned(ServiceName service, int ranks, int level, long at) {
+    private record LearnedLevel(ServiceName service, int ranks, int level, long at) {
 
         boolean holdsFor(int rank) {
             return (ranks & bit(rank)) != 0;
@@ -75,46 +75,46 @@
         return 1 << rank;
     }
 
-    /** Takes in what came with the end of a request of this rank. */
+    /** Records the levels that came with the end of a request of this rank. */
     synchronized void observe(int rank, List<ServiceLevel> reported, long now) {
         for (ServiceLevel level : reported) {
-            Known service = known.computeIfAbsent(level.service(), name -> newKnown(name, now));
+            ServiceSamples service = samplesByService.computeIfAbsent(level.service(), name -> newSamples(name, now));
             service.ranks |= bit(rank);
             service.samples.add(level.level(), now);
         }
         publish(now);
     }
 
-    /** The level of the root itself holds for all ranks. */
-    private Known newKnown(ServiceName service, long now) {
-        return new Known(service.equals(root) ? ALL_RANKS : 0, now);
+    /** The level of the root service itself applies to all ranks. */
+    private ServiceSamples newSamples(ServiceName service, long now) {
+        return new ServiceSamples(service.equals(root) ? ALL_RANKS : 0, now);
     }
 
     private void publish(long now) {
-        ImmutableList.Builder<Learned> builder = ImmutableList.builder();
-        known.forEach((service, told) -> {
-            int level = told.samples.middle(now);
+        ImmutableList.Builder<LearnedLevel> builder = ImmutableList.builder();
+        samplesByService.forEach((service, observed) -> {
+            int level = observed.samples.median(now);
             if (level < ServiceLevel.OPEN) {
-                builder.add(new Learned(service, told.ranks, level, told.samples.lastAt()));
+                builder.add(new LearnedLevel(service, observed.ranks, level, observed.samples.lastAt()));
             }
         });
-        ImmutableList<Learned> next = builder.build();
-        if (worst(next) > worst(closed) + ServiceLevel.STEPS) {
+        ImmutableList<LearnedLevel> next = builder.build();
+        if (lowest(next) > lowest(closed) + ServiceLevel.STEPS) {
             probeInterval = MIN_PROBE_NANOS;
         }
         closed = next;
     }
 
-    private static int worst(List<Learned> closed) {
-        int worst = ServiceLevel.OPEN;
-        for (Learned learned : closed) {
-            worst = Math.min(worst, learned.level());
+    private static int lowest(List<LearnedLevel> closed) {
+        int lowest = ServiceLevel.OPEN;
+        for (LearnedLevel learned : closed) {
+            lowest = Math.min(lowest, learned.level());
         }
-        return worst;
+        return lowest;
     }
 
     boolean open(int rank) {
-        for (Learned learned : closed) {
+        for (LearnedLevel learned : closed) {
             if (learned.holdsFor(rank)) {
                 return false;
             }
@@ -122,14 +122,14 @@
         return true;
     }
 
-    /** Whether all samples are open, so that nothing needs to be remembered. */
-    synchronized boolean settledOpen() {
-        return known.values().stream().allMatch(told -> told.samples.allOpen());
+    /** Whether all samples are open, so that no state needs to be kept. */
+    synchronized boolean allSamplesOpen() {
+        return samplesByService.values().stream().allMatch(observed -> observed.samples.allOpen());
     }
 
     int level(int rank, long now) {
         int level = ServiceLevel.OPEN;
-        for (Learned learned : closed) {
+        for (LearnedLevel learned : closed) {
             if (learned.holdsFor(rank)) {
                 level = Math.min(level, learned.levelAt(now));
             }
@@ -137,16 +137,16 @@
         return level;
     }
 
-    /** The lowest level that holds for any rank. */
+    /** Returns the lowest level that applies to any rank. */
     int lowestLevel(long now) {
         int level = ServiceLevel.OPEN;
-        for (Learned learned : closed) {
+        for (LearnedLevel learned : closed) {
             level = Math.min(level, learned.levelAt(now));
         }
         return level;
     }
 
-    /** The services that do not admit all and that the rank met, with their levels of now. */
+    /** Returns the services that do not admit all requests and that the rank called, with their current levels. */
     ImmutableList<ServiceLevel> closed(int rank, long now) {
         return closed.stream()
                 .filter(learned -> learned.holdsFor(rank))
@@ -155,11 +155,11 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Whether a request of the rank that the level sheds goes through as a probe. */
+    /** Whether to admit a request of the rank as a probe although the level sheds it. */
     boolean takeProbe(int rank, long now) {
         long interval = probeInterval;
         long last = lastProbe.get();
-        boolean due = now - lastToldAt(rank) >= interval && (last == Long.MIN_VALUE || now - last >= interval);
+        boolean due = now - lastReportAt(rank) >= interval && (last == Long.MIN_VALUE || now - last >= interval);
         if (!due || !lastProbe.compareAndSet(last, now)) {
             return false;
         }
@@ -167,10 +167,10 @@
         return true;
     }
 
-    private long lastToldAt(int rank) {
+    private long lastReportAt(int rank) {
         return closed.stream()
                 .filter(learned -> learned.holdsFor(rank))
-                .mapToLong(Learned::at)
+                .mapToLong(LearnedLevel::at)
                 .max()
                 .orElse(0);
     }
--- a/src/main/java/io/beryldock/admission/ServiceTimes.java
+++ b/src/main/java/io/beryldock/admission/ServiceTimes.java
@@ -1,21 +1,21 @@
 package io.beryldock.admission;
 
 /**
- * Service times of one target: what a request may be expected to take, by its kind where kinds differ.
+ * Service times of one target, from which the expected duration of a request is derived, by kind where kinds differ.
  *
- * <p>All in nanoseconds, 0 when nothing is known. Guarded by the gate's lock.
+ * <p>All times are in nanoseconds, 0 when unknown. Guarded by the gate's lock.
  */
 final class ServiceTimes {
 
     private static final double LONG_WEIGHT = 1.0 / 512;
-    private static final long MIN_HELD_NANOS = 10_000_000_000L;
+    private static final long MIN_WINDOW_NANOS = 10_000_000_000L;
 
     private final SmoothedTime all = new SmoothedTime();
     private final KindTimes kinds = new KindTimes();
     private double longMean;
-    private double minNow;
-    private double minBefore;
-    private long minSince;
+    private double currentMin;
+    private double previousMin;
+    private long currentMinSince;
 
     void add(int kind, long nanos, long now) {
         longMean = all.mean() == 0 ? nanos : longMean + LONG_WEIGHT * (nanos - longMean);
@@ -23,14 +23,14 @@
         kinds.add(kind, nanos, now);
     }
 
-    /** Takes the mean of a whole window into the shortest one; one sample alone would be far below the mean. */
+    /** Updates the shortest time with the mean of a whole window; a single sample could be far below the mean. */
     void addWindow(double windowMean, long now) {
-        if (now - minSince > MIN_HELD_NANOS) {
-            minBefore = minNow;
-            minNow = windowMean;
-            minSince = now;
+        if (now - currentMinSince > MIN_WINDOW_NANOS) {
+            previousMin = currentMin;
+            currentMin = windowMean;
+            currentMinSince = now;
         }
-        minNow = minNow == 0 ? windowMean : Math.min(minNow, windowMean);
+        currentMin = currentMin == 0 ? windowMean : Math.min(currentMin, windowMean);
     }
 
     double mean() {
@@ -41,27 +41,30 @@
         return longMean;
     }
 
-    /** The shortest mean of a window within the last 10 to 20 seconds. */
+    /** Returns the shortest mean of a window within the last 10 to 20 seconds. */
     double min() {
-        return minBefore == 0 ? minNow : Math.min(minNow, minBefore);
+        return previousMin == 0 ? currentMin : Math.min(currentMin, previousMin);
     }
 
-    /** What a request that starts now is expected to take, whatever its kind. */
+    /** Returns the expected duration of a request that starts now, over all kinds. */
     double expected(long now) {
         return all.expected(now);
     }
 
-    /** What a request of the kind is expected to take that starts now. */
+    /** Returns the expected duration of a request of this kind that starts now. */
     double expected(int kind, long now) {
         return kinds.expected(kind, all, now);
     }
 
-    /** How much longer than the mean of all the kind takes, below 0 when shorter; 0 while it is unknown. */
+    /**
+     * Returns the difference between the mean of the kind and the mean over all kinds, negative when the kind is
+     * faster; 0 while the kind is unknown.
+     */
     long aboveMean(int kind) {
         return (long) kinds.aboveMean(kind, all);
     }
 
-    /** Whether a request of a kind that is unknown may run to make it known. */
+    /** Whether a request of an unknown kind may run as a probe to measure the kind. */
     boolean takeProbe(int kind, long now) {
         return kinds.takeProbe(kind, now);
     }
--- a/src/main/java/io/beryldock/admission/SmoothedTime.java
+++ b/src/main/java/io/beryldock/admission/SmoothedTime.java
@@ -1,25 +1,25 @@
 package io.beryldock.admission;
 
 /**
- * Mean of times that scatter and now and then change.
+ * Mean of a time that varies randomly and sometimes changes.
  *
- * <p>It is smooth while the samples scatter as usual, and follows within a few samples when they have changed: a fast
- * average that leaves the scatter of the slow one shows a change. All in nanoseconds, 0 when nothing is known. Guarded
- * by the gate's lock.
+ * <p>The mean is smooth while the samples vary as usual, and follows within a few samples after a change: a change is
+ * detected when a fast average leaves the random variation around the slow one. All times are in nanoseconds, 0 when
+ * unknown. Guarded by the gate's lock.
  */
 final class SmoothedTime {
 
     private static final double SLOW_WEIGHT = 1.0 / 64;
     private static final double FAST_WEIGHT = 1.0 / 8;
     private static final double CHANGE_DEVIATIONS = 5;
-    private static final int SAMPLES_TO_FOLLOW = 16;
-    private static final double SCATTER_OF_FAST = Math.sqrt(FAST_WEIGHT / (2 - FAST_WEIGHT));
+    private static final int FAST_SAMPLES_AFTER_CHANGE = 16;
+    private static final double FAST_DEVIATION_FACTOR = Math.sqrt(FAST_WEIGHT / (2 - FAST_WEIGHT));
     private static final long FRESH_NANOS = 1_000_000_000L;
 
     private double mean;
     private double fast;
     private double deviation;
-    private int following;
+    private int fastSamplesLeft;
     private long lastAt;
 
     void add(long nanos, long now) {
@@ -31,14 +31,14 @@
             return;
         }
         fast += FAST_WEIGHT * (nanos - fast);
-        double scatter = SCATTER_OF_FAST * deviation * Math.sqrt(Math.min(1, fast / mean));
-        if (Math.abs(fast - mean) > CHANGE_DEVIATIONS * scatter) {
-            following = SAMPLES_TO_FOLLOW;
+        double fastDeviation = FAST_DEVIATION_FACTOR * deviation * Math.sqrt(Math.min(1, fast / mean));
+        if (Math.abs(fast - mean) > CHANGE_DEVIATIONS * fastDeviation) {
+            fastSamplesLeft = FAST_SAMPLES_AFTER_CHANGE;
         }
-        double weight = following > 0 ? FAST_WEIGHT : SLOW_WEIGHT;
+        double weight = fastSamplesLeft > 0 ? FAST_WEIGHT : SLOW_WEIGHT;
         deviation += weight * (Math.abs(nanos - mean) - deviation);
-        mean = following > 0 ? fast : mean + SLOW_WEIGHT * (nanos - mean);
-        following = Math.max(0, following - 1);
+        mean = fastSamplesLeft > 0 ? fast : mean + SLOW_WEIGHT * (nanos - mean);
+        fastSamplesLeft = Math.max(0, fastSamplesLeft - 1);
     }
 
     double mean() {
@@ -50,10 +50,10 @@
     }
 
     /**
-     * What work that starts now is expected to take.
+     * Returns the expected duration of a request that starts now.
      *
-     * <p>Without new samples it halves every second: a target that was slow would otherwise be given no request that
-     * could show that it has recovered, since each would seem unable to finish.
+     * <p>After a second without new samples it halves every second: otherwise a target that was slow would be given no
+     * request that could show its recovery, since each request would appear unable to finish in time.
      */
     double expected(long now) {
         long stale = now - lastAt - FRESH_NANOS;
--- a/src/main/java/io/beryldock/admission/TargetGate.java
+++ b/src/main/java/io/beryldock/admission/TargetGate.java
@@ -11,14 +11,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Admission at the node of one target: which request runs now, waits or is refused.
+ * Admission control of one target, at the target's node: decides which request runs now, is queued or is refused.
  *
- * <p>Invariants: never more in flight by its admissions than the announced slots; each submitted request hears exactly
- * one decision; a refused request was never admitted; nothing is admitted while draining; no request is admitted while
- * a more important one waits that can still finish.
+ * <p>Invariants: the requests in flight that the gate admitted never exceed the announced slots; the listener of each
+ * submitted request receives exactly one decision; a refused request was never admitted; nothing is admitted while
+ * draining; no request is admitted while a more important one that can still finish is queued.
  *
- * <p>Thread safe: one short lock around {@link GateCore}, which decides; listeners are called without it. A gate with
- * nothing in flight has no timer.
+ * <p>Thread safe: {@link GateCore} decides under one lock that is held briefly; listeners are called without it. A gate
+ * with nothing in flight has no timer.
  */
 public final class TargetGate {
 
@@ -32,7 +32,7 @@
     private boolean queueTicking;
     private boolean reclaimTicking;
     private long order;
-    private long reports;
+    private long loadVersion;
 
     private TargetGate(TimerService timers, GateCore core) {
         this.timers = timers;
@@ -40,26 +40,26 @@
         this.core = core;
     }
 
-    /** The generator must be thread safe when others use it too. */
+    /** Creates the gate of a target; the generator must be thread safe when it is shared. */
     public static TargetGate create(
             GateSettings settings, TimerService timers, RandomGenerator random, EventSink events, ServiceName service) {
         long now = timers.ticker().nanos();
         return new TargetGate(timers, new GateCore(settings, random, events, service, now));
     }
 
-    /** Takes new settings, for example announced slots; what runs goes on. */
+    /** Applies new settings, for example other announced slots; running requests continue. */
     public void reconfigure(GateSettings changed) {
         decide((now, out) -> core.reconfigure(changed, now, out));
     }
 
-    /** The target has started anew and is cold. */
+    /** Signals that the target has restarted and is cold. */
     public void targetRestarted() {
         decide((now, out) -> core.targetRestarted(now));
     }
 
-    /** Decides over the request now or a short time later; the listener hears it exactly once. */
+    /** Decides on the request now or a short time later; the listener receives the decision exactly once. */
     public GateHandle submit(GateRequest request, GateListener listener) {
-        Deliveries out = new Deliveries();
+        DecisionNotifications out = new DecisionNotifications();
         GateEntry entry;
         synchronized (lock) {
             long now = ticker.nanos();
@@ -67,31 +67,31 @@
             core.submit(entry, now, out);
             armTicks();
         }
-        out.deliver();
+        out.send();
         return entry;
     }
 
-    /** Admits nothing more; what waits is refused, what runs goes on. */
+    /** Stops admission; queued requests are refused, running ones continue. */
     public void drain() {
         decide(core::drain);
     }
 
-    /** Admits again. */
+    /** Resumes admission. */
     public void undrain() {
         decide((now, out) -> core.undrain());
     }
 
-    /** Admission level on the scale of {@link ServiceLevel}. */
+    /** Returns the admission level on the scale of {@link ServiceLevel}. */
     public int level() {
         synchronized (lock) {
             return core.level(ticker.nanos());
         }
     }
 
-    /** What is told with each result. */
+    /** Returns the load that is reported with each result. */
     public TargetLoad load() {
         synchronized (lock) {
-            return core.load(ticker.nanos(), ++reports);
+            return core.load(ticker.nanos(), ++loadVersion);
         }
     }
 
@@ -101,7 +101,9 @@
         }
     }
 
-    /** Completes when nothing is in flight or waits; for a planned stop, after {@link #drain}. */
+    /**
+     * Returns a future that completes when no request is in flight or queued; for a planned stop, after {@link #drain}.
+     */
     public CompletableFuture<Void> idle() {
         CompletableFuture<Void> future = new CompletableFuture<>();
         decide((now, out) -> core.whenIdle(future, out));
@@ -117,11 +119,11 @@
     }
 
     private void decide(Decision decision) {
-        Deliveries out = new Deliveries();
+        DecisionNotifications out = new DecisionNotifications();
         synchronized (lock) {
             decision.make(ticker.nanos(), out);
         }
-        out.deliver();
+        out.send();
     }
 
     private void armTicks() {
@@ -151,9 +153,9 @@
         });
     }
 
-    /** A decision of the core at a time. */
+    /** A call of the core that makes decisions at a given time. */
     @FunctionalInterface
     private interface Decision {
-        void make(long now, Deliveries out);
+        void make(long now, DecisionNotifications out);
     }
 }
