--- a/src/test/java/io/beryldock/admission/AdmissionBenchmark.java
+++ b/src/test/java/io/beryldock/admission/AdmissionBenchmark.java
@@ -30,7 +30,10 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import org.openjdk.jmh.runner.options.TimeValue;
 
-/** Nanoseconds and bytes of each decision on a request's way, by the number of closed services; run by hand. */
+/**
+ * Measures time and allocated bytes of each admission decision on the path of a request, by the number of closed
+ * services; run by hand.
+ */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -39,14 +42,14 @@
     private static final ServiceName LISTS = ServiceName.of("lists");
     private static final int SLOTS = 50;
 
-    /** Services that one run calls. */
+    /** Number of services that one execution calls. */
     private static final int CALLED = 3;
 
-    /** Services beneath which something is overloaded, as one entry knows them. */
+    /** Number of services that are overloaded or call overloaded ones, as known to one entry node. */
     @Param({"0", "10", "100", "2400"})
     int closedServices;
 
-    private final ImmutableList<ServiceLevel> beneath = IntStream.range(0, CALLED)
+    private final ImmutableList<ServiceLevel> levelsBelow = IntStream.range(0, CALLED)
             .mapToObj(i -> new ServiceLevel(ServiceName.of("called-" + i), 700))
             .collect(ImmutableList.toImmutableList());
     private final Random random = new Random(1);
@@ -54,7 +57,7 @@
     private ThreadTimerService timers;
     private TargetGate free;
     private TargetGate full;
-    private DoorShedder door;
+    private DoorShedder shedder;
     private ServiceName[] services;
     private int next;
 
@@ -77,11 +80,11 @@
         free = gate();
         full = gate();
         for (int i = 0; i < SLOTS; i++) {
-            full.submit(request(3), new Holder());
+            full.submit(request(3), new PermitHolder());
         }
-        // What was learned must not age while the run lasts, but reading the clock is part of the cost.
+        // Levels must not age during the run, but reading the clock is part of the cost.
         Ticker ticker = () -> System.nanoTime() % 1_000_000;
-        door = DoorShedder.create(ticker, random, EventSink.none());
+        shedder = DoorShedder.create(ticker, random, EventSink.none());
         services = new ServiceName[Math.max(1, closedServices)];
         for (int i = 0; i < services.length; i++) {
             services[i] = ServiceName.of("service-" + i);
@@ -91,7 +94,7 @@
             levels.add(new ServiceLevel(services[i], 900));
             levels.add(new ServiceLevel(ServiceName.of("beneath-" + i), 700));
             for (int times = 0; times < 7; times++) {
-                door.observe(services[i], 6, levels);
+                shedder.observe(services[i], 6, levels);
             }
         }
     }
@@ -103,23 +106,23 @@
 
     @Benchmark
     public GateHandle admitAndRelease() {
-        Holder holder = new Holder();
-        GateHandle handle = free.submit(request(3), holder);
-        holder.permit.release(Completion.SUCCEEDED);
+        PermitHolder permitHolder = new PermitHolder();
+        GateHandle handle = free.submit(request(3), permitHolder);
+        permitHolder.permit.release(Completion.SUCCEEDED);
         return handle;
     }
 
     @Benchmark
     public GateHandle queueAndCancel() {
-        GateHandle handle = full.submit(request(3), new Holder());
+        GateHandle handle = full.submit(request(3), new PermitHolder());
         handle.cancel();
         return handle;
     }
 
     @Benchmark
-    public DoorDecision decideAtDoor() {
+    public DoorDecision decideAtEntry() {
         next = (next + 1) % services.length;
-        return door.decide(services[next], 6, next);
+        return shedder.decide(services[next], 6, next);
     }
 
     @Benchmark
@@ -131,7 +134,7 @@
     public List<ServiceLevel> reportLevels() {
         LevelReport report = LevelReport.create();
         for (int i = 0; i < CALLED; i++) {
-            report.add(beneath.get(i).service(), ImmutableList.of(beneath.get(i)));
+            report.add(levelsBelow.get(i).service(), ImmutableList.of(levelsBelow.get(i)));
         }
         return report.with(new ServiceLevel(LISTS, free.level()));
     }
@@ -146,12 +149,12 @@
         return new GateRequest(id, rank, next++, 0, TimeUnit.HOURS.toNanos(1));
     }
 
-    private static final class Holder implements GateListener {
+    private static final class PermitHolder implements GateListener {
         private Permit permit;
 
         @Override
-        public void admitted(Permit given) {
-            permit = given;
+        public void admitted(Permit granted) {
+            permit = granted;
         }
 
         @Override
--- a/src/test/java/io/beryldock/admission/CallerHashTest.java
+++ b/src/test/java/io/beryldock/admission/CallerHashTest.java
@@ -17,7 +17,8 @@
         assertThat(inFirstHalf).isBetween(4_800L, 5_200L);
     }
 
-    // With one order for ever the same readers would be the ones who never see their page while others always do.
+    // Guards against an order of callers that never changes: the same callers would always be shed while others never
+    // are.
     @Test
     void epochChangesWhoIsShed() {
         long moved = IntStream.range(0, 1_000)
--- a/src/test/java/io/beryldock/admission/ChainSimulation.java
+++ b/src/test/java/io/beryldock/admission/ChainSimulation.java
@@ -14,10 +14,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A queueing model of a chain of services with gates and doors on injected time, to measure the algorithms alone.
+ * A queueing model of a chain of services with target gates and entry shedders on simulated time, which measures the
+ * algorithms in isolation.
  *
- * <p>Callers arrive at random, each at one of the entries; one in ten asks at rank 0, two at rank 3, the rest at rank
- * 6.
+ * <p>Callers arrive at random, each at one of the entry nodes; 10% of the requests have rank 0, 20% have rank 3 and the
+ * rest have rank 6.
  */
 final class ChainSimulation {
 
@@ -28,26 +29,26 @@
     final ManualTimerService timers = ManualTimerService.create();
     final Random random;
     final List<SimService> chain = new ArrayList<>();
-    final AtomicInteger broken = new AtomicInteger();
+    final AtomicInteger violations = new AtomicInteger();
     private final Setup setup;
-    private final List<DoorShedder> doors = new ArrayList<>();
+    private final List<DoorShedder> shedders = new ArrayList<>();
     private final int[] goodByBucket;
-    private final long[] asked = new long[8];
-    private final long[] answered = new long[8];
-    private final long[] atDoor = new long[8];
+    private final long[] sentByRank = new long[8];
+    private final long[] answeredByRank = new long[8];
+    private final long[] shedByRank = new long[8];
     private final Histogram rank0 = new Histogram(3);
-    private double usedNanos;
-    private double wastedNanos;
-    private long good;
+    private double usedSlotNanos;
+    private double wastedSlotNanos;
+    private long goodput;
 
     /**
-     * What is simulated; the chain is given from the root down.
+     * Parameters of a simulation; the stages are listed from the root of the chain downwards.
      *
-     * @param demand requests a second by the second of the run
-     * @param slowness factor of the last service's time by the second of the run
-     * @param announced slots that a target announces as a multiple of those it has, 0 for none
-     * @param refuseAbove the targets refuse requests when that many are inside
-     * @param from start of the part of the run that is counted
+     * @param demand requests per second, by the second of the run
+     * @param slowness factor on the service time of the last service, by the second of the run
+     * @param announced slots that a target announces as a multiple of its actual slots, 0 for none
+     * @param refuseAbove number of requests at a target, running or queued, from which it refuses further ones
+     * @param from start of the measured part of the run, in seconds
      */
     record Setup(
             long seed,
@@ -55,7 +56,7 @@
             ImmutableList<Stage> stages,
             int instances,
             int entries,
-            boolean door,
+            boolean shedAtEntry,
             GateSettings gate,
             double announced,
             int refuseAbove,
@@ -64,7 +65,10 @@
             double from,
             double deadlineSeconds) {
 
-        /** Whole requests a second that the slots allow: a service holds its slot while those beneath it work. */
+        /**
+         * Returns the root requests per second that the slots allow: a service holds its slot while the services below
+         * it work.
+         */
         double capacity() {
             double bound = Double.MAX_VALUE;
             double held = 0;
@@ -79,22 +83,25 @@
     }
 
     /**
-     * A service of the chain: the slots of each instance and the mean time that it works itself, the calls that it
-     * makes.
+     * A service of the chain.
+     *
+     * @param slots slots of each instance
+     * @param millis mean time of its own work
+     * @param calls number of calls that it makes to the next service
      */
     record Stage(int slots, double millis, int calls) {}
 
-    /** What came out. */
+    /** Results of a simulation. */
     record Result(
             double goodputShare,
             double wastedShare,
             double answeredRank0,
             double answeredRank3,
             double answeredRank6,
-            double shedAtDoor,
+            double shedAtEntry,
             double rank0P99Millis,
             double recoverySeconds,
-            int broken) {}
+            int violations) {}
 
     ChainSimulation(Setup setup) {
         this.setup = setup;
@@ -102,25 +109,25 @@
         this.goodByBucket = new int[(setup.seconds() + 2) * BUCKETS_PER_SECOND];
         EventSink events = (kind, request, subject, detail) -> {
             if (kind == EventKind.INVARIANT_BROKEN) {
-                broken.incrementAndGet();
+                violations.incrementAndGet();
             }
         };
-        SimService beneath = null;
+        SimService serviceBelow = null;
         for (int depth = setup.stages().size() - 1; depth >= 0; depth--) {
-            beneath = service(depth, beneath, events);
-            chain.add(0, beneath);
+            serviceBelow = service(depth, serviceBelow, events);
+            chain.add(0, serviceBelow);
         }
         for (int i = 0; i < setup.entries(); i++) {
-            doors.add(DoorShedder.create(timers.ticker(), random, events));
+            shedders.add(DoorShedder.create(timers.ticker(), random, events));
         }
     }
 
-    private SimService service(int depth, SimService beneath, EventSink events) {
+    private SimService service(int depth, SimService serviceBelow, EventSink events) {
         SimService service = new SimService(
                 "service-" + depth,
                 timers,
                 random,
-                beneath,
+                serviceBelow,
                 setup.stages().get(depth).calls());
         boolean last = depth == setup.stages().size() - 1;
         int slots = setup.stages().get(depth).slots();
@@ -145,7 +152,7 @@
         return result(0, 0);
     }
 
-    /** Runs and takes the time from the end of the cause until goodput is back for a second. */
+    /** Runs the simulation and measures the time from the end of the cause until goodput has recovered for a second. */
     Result run(double before, double causeEnd) {
         arriveNext();
         timers.advance(Duration.ofSeconds(setup.seconds()));
@@ -169,55 +176,58 @@
         int rank = dice == 0 ? 0 : dice < 3 ? 3 : 6;
         int hash = CallerHash.of("caller-" + random.nextInt(CALLERS), 0);
         boolean counted = now() >= setup.from() && now() < setup.seconds() - 1;
-        asked[rank] += counted ? 1 : 0;
-        DoorShedder door = doors.get(random.nextInt(doors.size()));
+        sentByRank[rank] += counted ? 1 : 0;
+        DoorShedder shedder = shedders.get(random.nextInt(shedders.size()));
         SimService root = chain.get(0);
-        if (setup.door() && !door.decide(root.name, rank, hash).admitted()) {
-            atDoor[rank] += counted ? 1 : 0;
+        if (setup.shedAtEntry() && !shedder.decide(root.name, rank, hash).admitted()) {
+            shedByRank[rank] += counted ? 1 : 0;
             return;
         }
         long start = timers.ticker().nanos();
         long deadline = timers.ticker().nanos() + (long) (setup.deadlineSeconds() * NANOS_PER_SECOND);
-        SimService.Trip trip = new SimService.Trip(rank, hash, deadline);
-        root.call(trip, reply -> {
-            door.observe(root.name, rank, reply.levels());
-            end(trip, reply.ok(), counted);
+        SimService.RootRequest rootRequest = new SimService.RootRequest(rank, hash, deadline);
+        root.call(rootRequest, reply -> {
+            shedder.observe(root.name, rank, reply.levels());
+            end(rootRequest, reply.ok(), counted);
             if (counted && rank == 0) {
                 rank0.recordValue(timers.ticker().nanos() - start);
             }
         });
     }
 
-    private void end(SimService.Trip trip, boolean ok, boolean counted) {
-        trip.over = true;
+    private void end(SimService.RootRequest rootRequest, boolean ok, boolean counted) {
+        rootRequest.ended = true;
         if (ok) {
             goodByBucket[(int) (now() * BUCKETS_PER_SECOND)]++;
         }
         if (!counted) {
             return;
         }
-        usedNanos += trip.slotNanos;
-        wastedNanos += ok ? 0 : trip.slotNanos;
-        good += ok ? 1 : 0;
-        answered[trip.rank] += ok ? 1 : 0;
+        usedSlotNanos += rootRequest.slotNanos;
+        wastedSlotNanos += ok ? 0 : rootRequest.slotNanos;
+        goodput += ok ? 1 : 0;
+        answeredByRank[rootRequest.rank] += ok ? 1 : 0;
     }
 
     private Result result(double before, double causeEnd) {
         double counted = setup.seconds() - 1 - setup.from();
-        long allAsked = asked[0] + asked[3] + asked[6];
+        long allSent = sentByRank[0] + sentByRank[3] + sentByRank[6];
         return new Result(
-                good / counted / setup.capacity(),
-                wastedNanos / Math.max(1, usedNanos),
-                (double) answered[0] / Math.max(1, asked[0]),
-                (double) answered[3] / Math.max(1, asked[3]),
-                (double) answered[6] / Math.max(1, asked[6]),
-                (double) (atDoor[0] + atDoor[3] + atDoor[6]) / Math.max(1, allAsked),
+                goodput / counted / setup.capacity(),
+                wastedSlotNanos / Math.max(1, usedSlotNanos),
+                (double) answeredByRank[0] / Math.max(1, sentByRank[0]),
+                (double) answeredByRank[3] / Math.max(1, sentByRank[3]),
+                (double) answeredByRank[6] / Math.max(1, sentByRank[6]),
+                (double) (shedByRank[0] + shedByRank[3] + shedByRank[6]) / Math.max(1, allSent),
                 rank0.getValueAtPercentile(99) / 1e6,
                 causeEnd > 0 ? recovery(before, causeEnd) : 0,
-                broken.get());
+                violations.get());
     }
 
-    /** Goodput counts as back when it is within 95% of before over each quarter of the second that follows. */
+    /**
+     * Returns the time until goodput has recovered: it reaches 95% of its earlier value for a second, and 90% of it in
+     * the first quarter of that second.
+     */
     private double recovery(double before, double causeEnd) {
         int from = (int) (before * BUCKETS_PER_SECOND);
         double usual = sum(from - 2 * BUCKETS_PER_SECOND, from) / 2.0;
@@ -238,7 +248,7 @@
         return sum;
     }
 
-    /** Goodput by tenth of a second, levels at the end; for a look at one run. */
+    /** Returns the goodput per tenth of a second, to examine a single run. */
     List<Integer> goodput() {
         List<Integer> list = new ArrayList<>();
         for (int at = 0; at < setup.seconds() * BUCKETS_PER_SECOND; at += 2) {
--- a/src/test/java/io/beryldock/admission/GateFixture.java
+++ b/src/test/java/io/beryldock/admission/GateFixture.java
@@ -12,10 +12,12 @@
 import java.util.List;
 import java.util.Random;
 
-/** A gate on injected time whose broken invariants fail the test, and listeners that note what they hear. */
+/**
+ * A gate on simulated time that fails the test when an invariant is violated, and listeners that record their calls.
+ */
 final class GateFixture {
 
-    static final EventSink FAILING_ON_BROKEN = (kind, request, subject, detail) -> {
+    static final EventSink FAIL_ON_VIOLATION = (kind, request, subject, detail) -> {
         if (kind == EventKind.INVARIANT_BROKEN) {
             throw new AssertionError(detail);
         }
@@ -27,77 +29,78 @@
     private final RequestIds ids = RequestIds.of(Incarnation.random(new Random(1)));
 
     GateFixture(GateSettings settings) {
-        gate = TargetGate.create(settings, timers, new Random(2), FAILING_ON_BROKEN, ServiceName.of("holdings"));
+        gate = TargetGate.create(settings, timers, new Random(2), FAIL_ON_VIOLATION, ServiceName.of("holdings"));
     }
 
-    /** Settings of a warm target. */
+    /** Returns settings of a warm target, whose limit equals its slots. */
     static GateSettings warm(int slots) {
         return GateSettings.defaults().withAnnouncedSlots(slots).withInitialLimit(slots);
     }
 
-    Heard submit(int rank, long sunkMillis, long remainingMillis) {
-        Heard heard = new Heard(rank);
+    RecordingListener submit(int rank, long sunkMillis, long remainingMillis) {
+        RecordingListener listener = new RecordingListener(rank);
         long sunk = Duration.ofMillis(sunkMillis).toNanos();
         long remaining = Duration.ofMillis(remainingMillis).toNanos();
-        heard.handle = gate.submit(
-                new GateRequest(ids.next(), rank, CallerHash.of("caller-" + submitted++, 0), sunk, remaining), heard);
-        return heard;
+        listener.handle = gate.submit(
+                new GateRequest(ids.next(), rank, CallerHash.of("caller-" + submitted++, 0), sunk, remaining),
+                listener);
+        return listener;
     }
 
-    Heard submit(int rank, int kind, long remainingMillis, boolean covered) {
-        Heard heard = new Heard(rank);
+    RecordingListener submit(int rank, int kind, long remainingMillis, boolean covered) {
+        RecordingListener listener = new RecordingListener(rank);
         long remaining = Duration.ofMillis(remainingMillis).toNanos();
         int hash = CallerHash.of("caller-" + submitted++, 0);
-        heard.handle = gate.submit(new GateRequest(ids.next(), rank, hash, 0, remaining, covered, kind), heard);
-        return heard;
+        listener.handle = gate.submit(new GateRequest(ids.next(), rank, hash, 0, remaining, covered, kind), listener);
+        return listener;
     }
 
-    Heard submit(int rank) {
+    RecordingListener submit(int rank) {
         return submit(rank, 0, 1_000);
     }
 
-    List<Heard> submit(int rank, int count) {
-        List<Heard> list = new ArrayList<>();
+    List<RecordingListener> submit(int rank, int count) {
+        List<RecordingListener> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             list.add(submit(rank));
         }
         return list;
     }
 
-    void pass(long millis) {
+    void advance(long millis) {
         timers.advance(Duration.ofMillis(millis));
     }
 
-    /** What one listener heard. */
-    static final class Heard implements GateListener {
+    /** Records the calls of one gate listener. */
+    static final class RecordingListener implements GateListener {
         final int rank;
         GateHandle handle;
         Permit permit;
         Reason reason;
         int calls;
-        boolean noted;
+        boolean collected;
 
-        Heard(int rank) {
+        RecordingListener(int rank) {
             this.rank = rank;
         }
 
         @Override
-        public void admitted(Permit given) {
+        public void admitted(Permit granted) {
             calls++;
-            permit = given;
+            permit = granted;
         }
 
         @Override
-        public void refused(Reason given, long retryAfterMillis) {
+        public void refused(Reason refusal, long retryAfterMillis) {
             calls++;
-            reason = given;
+            reason = refusal;
         }
 
         boolean admitted() {
             return permit != null;
         }
 
-        boolean waits() {
+        boolean isWaiting() {
             return calls == 0;
         }
 
--- a/src/test/java/io/beryldock/admission/LevelReportTest.java
+++ b/src/test/java/io/beryldock/admission/LevelReportTest.java
@@ -21,17 +21,17 @@
         return new ServiceLevel(service, level);
     }
 
-    // Orders are taken through the same node as lists, and holdings, which only lists calls, is overloaded. Were
-    // holdings reported beneath orders, orders would be shed for a service that they never need.
+    // Orders and lists run at the same node, and holdings, which only lists calls, is overloaded. If holdings were
+    // reported below orders, orders would be shed for a service that they never call.
     @Test
-    void runNamesOnlyServicesThatItsOwnCallsMet() {
+    void reportNamesOnlyServicesThatItsExecutionCalled() {
         report.add(HOLDINGS, ImmutableList.of(level(HOLDINGS, 200)));
         assertThat(report.with(OWN)).containsExactly(OWN, level(HOLDINGS, 200));
         assertThat(LevelReport.create().with(level(ORDERS, 900))).containsExactly(level(ORDERS, 900));
     }
 
     @Test
-    void reportIsBoundedToTheWorst() {
+    void reportIsBoundedToTheLowestLevels() {
         IntStream.range(0, 30).forEach(i -> {
             ServiceName service = ServiceName.of("service-" + i);
             report.add(service, ImmutableList.of(level(service, 10 + i)));
@@ -40,10 +40,10 @@
         assertThat(report.with(OWN).get(1)).isEqualTo(level(ServiceName.of("service-0"), 10));
     }
 
-    // Lists and holdings call each other. An overload of catalogue is over, but each repeats what the other last said.
-    // A later run must not pass on what an earlier one was told.
+    // Lists and holdings call each other. An overload of catalogue has ended, but each service could repeat the last
+    // report of the other. A later execution must not pass on levels that an earlier one received.
     @Test
-    void oldReportDoesNotLiveOnInACircleOfServices() {
+    void outdatedReportIsNotKeptAliveByACycleOfServices() {
         ServiceName catalogue = ServiceName.of("catalogue");
         report.add(HOLDINGS, ImmutableList.of(level(HOLDINGS, 900), level(catalogue, 500)));
         LevelReport later = LevelReport.create();
@@ -51,9 +51,8 @@
         assertThat(later.with(OWN)).containsExactly(OWN, level(HOLDINGS, 900));
     }
 
-    // A third of the inner calls can't be matched to their run. Were holdings held to be open for each run that does
-    // not
-    // name it, the entry would admit pages that fail beneath.
+    // A third of the inner calls cannot be attributed to their execution. If holdings counted as open for each
+    // execution that does not name it, the entry would admit requests that fail at holdings.
     @Test
     void openServicesAreNamedAndLaterAnswersReplaceEarlierOnes() {
         report.add(HOLDINGS, ImmutableList.of(level(HOLDINGS, 200)));
--- a/src/test/java/io/beryldock/admission/LimitMeasurement.java
+++ b/src/test/java/io/beryldock/admission/LimitMeasurement.java
@@ -8,12 +8,15 @@
 import java.util.Locale;
 import java.util.function.DoubleUnaryOperator;
 
-/** Prints how each way to find a limit does on one target of 15 slots and 20 ms; run by hand, seed as argument. */
+/**
+ * Prints the results of each limit strategy on one target with 15 slots and 20 ms service time; run by hand with the
+ * seed as argument.
+ */
 public final class LimitMeasurement {
 
     private static final int SLOTS = 15;
     private static final double MILLIS = 20;
-    private static final int NEVER = Integer.MAX_VALUE;
+    private static final int NEVER_REFUSES = Integer.MAX_VALUE;
     private static final ImmutableMap<String, LimitStrategy> STRATEGIES = ImmutableMap.of(
             "fixed 15",
             LimitStrategies.fixed(SLOTS),
@@ -34,34 +37,34 @@
         long seed = args.length > 0 ? Long.parseLong(args[0]) : 1;
         System.out.println("strategy   scenario              goodput  rank0  p99ms0  recovery limit");
         STRATEGIES.forEach((name, strategy) -> {
-            Case usual = new Case(seed, GateSettings.defaults().withStrategy(strategy), 1, NEVER, 3, t -> 1, 3);
-            print(name, "announced 15", usual);
-            print(name, "announced 60", usual.announced(4));
-            print(name, "announced 60, refuses", usual.announced(4).refuseAbove(SLOTS));
-            print(name, "announced, slow 4-7s", usual.slowness(LimitMeasurement::spell));
-            print(name, "not announced", usual.announced(0));
-            print(name, "not ann., slow 4-7s", usual.announced(0).slowness(LimitMeasurement::spell));
-            print(name, "not ann., cold start", usual.announced(0).fromStart(t -> Math.max(1, 5 - 2 * t)));
-            print(name, "not ann., load 0.7", usual.announced(0).load(0.7));
+            Case base = new Case(seed, GateSettings.defaults().withStrategy(strategy), 1, NEVER_REFUSES, 3, t -> 1, 3);
+            print(name, "announced 15", base);
+            print(name, "announced 60", base.announced(4));
+            print(name, "announced 60, refuses", base.announced(4).refuseAbove(SLOTS));
+            print(name, "announced, slow 4-7s", base.slowness(LimitMeasurement::slowPeriodFactor));
+            print(name, "not announced", base.announced(0));
+            print(name, "not ann., slow 4-7s", base.announced(0).slowness(LimitMeasurement::slowPeriodFactor));
+            print(name, "not ann., cold start", base.announced(0).fromStart(t -> Math.max(1, 5 - 2 * t)));
+            print(name, "not ann., load 0.7", base.announced(0).load(0.7));
         });
     }
 
-    private static double spell(double second) {
+    private static double slowPeriodFactor(double second) {
         return second >= 4 && second < 7 ? 5 : 1;
     }
 
-    /** One run of the measurement. */
+    /** Parameters of one simulation run. */
     private record Case(
             long seed,
             GateSettings gate,
             double announcedFactor,
-            int refusing,
+            int refuseAbove,
             double demandFactor,
             DoubleUnaryOperator slow,
             double from) {
 
         Case announced(double factor) {
-            return new Case(seed, gate, factor, refusing, demandFactor, slow, from);
+            return new Case(seed, gate, factor, refuseAbove, demandFactor, slow, from);
         }
 
         Case refuseAbove(int inside) {
@@ -69,15 +72,15 @@
         }
 
         Case load(double factor) {
-            return new Case(seed, gate, announcedFactor, refusing, factor, slow, from);
+            return new Case(seed, gate, announcedFactor, refuseAbove, factor, slow, from);
         }
 
         Case slowness(DoubleUnaryOperator other) {
-            return new Case(seed, gate, announcedFactor, refusing, demandFactor, other, from);
+            return new Case(seed, gate, announcedFactor, refuseAbove, demandFactor, other, from);
         }
 
         Case fromStart(DoubleUnaryOperator other) {
-            return new Case(seed, gate, announcedFactor, refusing, demandFactor, other, 0);
+            return new Case(seed, gate, announcedFactor, refuseAbove, demandFactor, other, 0);
         }
 
         ChainSimulation simulation() {
@@ -87,7 +90,7 @@
 
         private Setup setup(DoubleUnaryOperator demand) {
             ImmutableList<Stage> stages = ImmutableList.of(new Stage(SLOTS, MILLIS, 1));
-            return new Setup(seed, 14, stages, 1, 1, false, gate, announcedFactor, refusing, demand, slow, from, 1);
+            return new Setup(seed, 14, stages, 1, 1, false, gate, announcedFactor, refuseAbove, demand, slow, from, 1);
         }
     }
 
--- a/src/test/java/io/beryldock/admission/LimitStrategiesTest.java
+++ b/src/test/java/io/beryldock/admission/LimitStrategiesTest.java
@@ -9,7 +9,7 @@
     private static final double MILLI = 1e6;
 
     @Test
-    void aimdBacksOffOnRefusalsAndRisesOnlyWhenTheLimitHoldsWorkBack() {
+    void aimdBacksOffOnRefusalsAndRisesOnlyWhenTheLimitDelaysRequests() {
         assertThat(next(LimitStrategies.aimd(), false, 20, 20, 5, 10)).isEqualTo(18);
         assertThat(next(LimitStrategies.aimd(), false, 20, 20, 0, 10)).isEqualTo(21);
         assertThat(next(LimitStrategies.aimd(), false, 20, 5, 0, 10)).isEqualTo(20);
@@ -27,9 +27,8 @@
         assertThat(next(LimitStrategies.gradient(), false, 60, 60, 0, 10)).isGreaterThan(60);
     }
 
-    // Holdings answers five times slower than usual, with all its slots at work. A lower limit would leave slots idle
-    // and
-    // make a slow service slower still.
+    // The target answers five times slower than normal, with all its slots busy. A lower limit would leave slots idle
+    // and slow the service down further.
     @Test
     void standardKeepsAnnouncedSlotsBusyWhenTheTargetIsSlow() {
         assertThat(next(LimitStrategies.standard(), true, 15, 15, 0, 50)).isGreaterThanOrEqualTo(15);
--- a/src/test/java/io/beryldock/admission/RequestKindTest.java
+++ b/src/test/java/io/beryldock/admission/RequestKindTest.java
@@ -16,7 +16,7 @@
 class RequestKindTest {
 
     @Test
-    void callsOfOneCallerMethodAndBeginningOfThePathAreAlike() {
+    void callsWithTheSameCallerMethodAndFirstSegmentShareAKind() {
         int kind = kind("outside", "GET", "/quotes/17");
         assertThat(kind("outside", "GET", "/quotes/18?full=1")).isEqualTo(kind);
         assertThat(kind("outside", "GET", "/quotes?all")).isEqualTo(kind);
--- a/src/test/java/io/beryldock/admission/SimService.java
+++ b/src/test/java/io/beryldock/admission/SimService.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** The instances of one service, each with its gate and its target. */
+/** A simulated service: its instances, each with a gate and a target. */
 final class SimService {
 
     private static final Duration HOP = Duration.ofMillis(1);
@@ -22,16 +22,16 @@
     final List<Instance> instances = new ArrayList<>();
     private final ManualTimerService timers;
     private final RandomGenerator random;
-    private final SimService beneath;
+    private final SimService serviceBelow;
     private final int calls;
     private final RequestIds ids;
 
-    SimService(String name, ManualTimerService timers, RandomGenerator random, SimService beneath, int calls) {
+    SimService(String name, ManualTimerService timers, RandomGenerator random, SimService serviceBelow, int calls) {
         this.calls = calls;
         this.name = ServiceName.of(name);
         this.timers = timers;
         this.random = random;
-        this.beneath = beneath;
+        this.serviceBelow = serviceBelow;
         this.ids = RequestIds.of(Incarnation.random(random));
     }
 
@@ -39,17 +39,17 @@
         instances.add(new Instance(gate, target));
     }
 
-    /** One user-visible request on its way down; its slot time adds up over all services. */
-    static final class Trip {
+    /** A root request on its way through the services, which sums up the slot time that it uses in all of them. */
+    static final class RootRequest {
         final int rank;
         final int hash;
         final long deadline;
         double slotNanos;
-        boolean over;
+        boolean ended;
         private int serving;
         private double startSum;
 
-        Trip(int rank, int hash, long deadline) {
+        RootRequest(int rank, int hash, long deadline) {
             this.rank = rank;
             this.hash = hash;
             this.deadline = deadline;
@@ -66,21 +66,24 @@
             slotNanos += now - started;
         }
 
-        /** Slot time so far, with that of the targets that still serve it. */
+        /** Returns the slot time used so far, including that of the targets that still execute the request. */
         long sunkNanos(long now) {
             return (long) (slotNanos + (double) serving * now - startSum);
         }
     }
 
-    /** How a call ended and the levels that came with it. */
+    /** Outcome of a call and the levels reported with it. */
     record Reply(boolean ok, boolean notRun, List<ServiceLevel> levels) {}
 
-    /** Calls the less busy of two instances; one more try at another one after a refusal. */
-    void call(Trip trip, Consumer<Reply> consumer) {
+    /**
+     * Calls the instance with fewer outstanding calls out of two random ones; after a refusal it tries one other
+     * instance.
+     */
+    void call(RootRequest rootRequest, Consumer<Reply> consumer) {
         Instance first = choose(null);
-        first.call(trip, reply -> {
-            if (reply.notRun() && instances.size() > 1 && !trip.over) {
-                choose(first).call(trip, consumer);
+        first.call(rootRequest, reply -> {
+            if (reply.notRun() && instances.size() > 1 && !rootRequest.ended) {
+                choose(first).call(rootRequest, consumer);
             } else {
                 consumer.accept(reply);
             }
@@ -98,7 +101,7 @@
         return chosen == except ? any(except) : chosen;
     }
 
-    /** One target with its node. */
+    /** A target and the gate at its node. */
     final class Instance {
         final TargetGate gate;
         final SimTarget target;
@@ -109,27 +112,28 @@
             this.target = target;
         }
 
-        void call(Trip trip, Consumer<Reply> consumer) {
+        void call(RootRequest rootRequest, Consumer<Reply> consumer) {
             outstanding++;
             Consumer<Reply> once = new Consumer<>() {
-                private boolean told;
+                private boolean replied;
 
                 @Override
                 public void accept(Reply reply) {
-                    if (!told) {
-                        told = true;
+                    if (!replied) {
+                        replied = true;
                         outstanding--;
                         timers.after(HOP, () -> consumer.accept(reply));
                     }
                 }
             };
-            timers.after(HOP, () -> submit(trip, once));
+            timers.after(HOP, () -> submit(rootRequest, once));
         }
 
-        private void submit(Trip trip, Consumer<Reply> consumer) {
+        private void submit(RootRequest rootRequest, Consumer<Reply> consumer) {
             long now = timers.ticker().nanos();
-            long left = trip.deadline - now;
-            GateRequest request = new GateRequest(ids.next(), trip.rank, trip.hash, trip.sunkNanos(now), left);
+            long left = rootRequest.deadline - now;
+            GateRequest request =
+                    new GateRequest(ids.next(), rootRequest.rank, rootRequest.hash, rootRequest.sunkNanos(now), left);
             GateHandle handle = gate.submit(request, new GateListener() {
                 @Override
                 public void admitted(Permit permit) {
@@ -137,7 +141,7 @@
                         permit.release(Completion.REFUSED_BY_TARGET);
                         consumer.accept(new Reply(false, true, ownLevel()));
                     } else {
-                        target.acquire(() -> serve(trip, permit, consumer));
+                        target.acquire(() -> serve(rootRequest, permit, consumer));
                     }
                 }
 
@@ -152,32 +156,32 @@
             });
         }
 
-        private void serve(Trip trip, Permit permit, Consumer<Reply> consumer) {
+        private void serve(RootRequest rootRequest, Permit permit, Consumer<Reply> consumer) {
             long start = timers.ticker().nanos();
-            LevelReport told = LevelReport.create();
-            trip.start(start);
+            LevelReport received = LevelReport.create();
+            rootRequest.start(start);
             Consumer<Boolean> end = ok -> {
-                trip.end(start, timers.ticker().nanos());
+                rootRequest.end(start, timers.ticker().nanos());
                 target.releaseSlot();
                 permit.release(ok ? Completion.SUCCEEDED : Completion.FAILED);
-                consumer.accept(new Reply(ok, false, told.with(new ServiceLevel(name, gate.level()))));
+                consumer.accept(new Reply(ok, false, received.with(new ServiceLevel(name, gate.level()))));
             };
-            if (beneath == null) {
+            if (serviceBelow == null) {
                 target.work(1, () -> end.accept(true));
             } else {
-                target.work(0.5, () -> callBeneath(trip, told, calls, end));
+                target.work(0.5, () -> callServiceBelow(rootRequest, received, calls, end));
             }
         }
 
-        private void callBeneath(Trip trip, LevelReport told, int left, Consumer<Boolean> end) {
-            if (trip.over) {
+        private void callServiceBelow(RootRequest rootRequest, LevelReport received, int left, Consumer<Boolean> end) {
+            if (rootRequest.ended) {
                 end.accept(false);
                 return;
             }
-            beneath.call(trip, reply -> {
-                told.add(beneath.name, ImmutableList.copyOf(reply.levels()));
+            serviceBelow.call(rootRequest, reply -> {
+                received.add(serviceBelow.name, ImmutableList.copyOf(reply.levels()));
                 if (reply.ok() && left > 1) {
-                    callBeneath(trip, told, left - 1, end);
+                    callServiceBelow(rootRequest, received, left - 1, end);
                 } else if (reply.ok()) {
                     target.work(0.5, () -> end.accept(true));
                 } else {
--- a/src/test/java/io/beryldock/admission/SimTarget.java
+++ b/src/test/java/io/beryldock/admission/SimTarget.java
@@ -7,7 +7,7 @@
 import java.util.function.DoubleUnaryOperator;
 import java.util.random.RandomGenerator;
 
-/** A target with slots and a queue of its own, on injected time; work takes a gamma-like random time. */
+/** A target with slots and an internal queue, on simulated time. */
 final class SimTarget {
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -22,8 +22,9 @@
     private int busy;
 
     /**
-     * @param slowness factor of the service time by the second of the run
-     * @param refuseAbove refuses requests with its marker when that many are inside
+     * @param slowness factor on the service time, by the second of the run
+     * @param refuseAbove number of requests at the target from which it refuses further ones with its not-executed
+     *     marker
      */
     SimTarget(
             ManualTimerService timers,
@@ -44,7 +45,7 @@
         return busy + waiting.size() >= refuseAbove;
     }
 
-    /** Runs the task once a slot is free. */
+    /** Runs the task as soon as a slot is free. */
     void acquire(Runnable task) {
         if (busy < slots) {
             busy++;
@@ -63,7 +64,10 @@
         }
     }
 
-    /** Works for a random time around this share of the mean: half of it fixed, half exponential. */
+    /**
+     * Works for a random time around this share of the mean: half of the time is constant, half exponentially
+     * distributed.
+     */
     void work(double share, Runnable done) {
         double factor = slowness.applyAsDouble(timers.ticker().nanos() / NANOS_PER_SECOND);
         double nanos = meanNanos * share * factor * (0.5 + 0.5 * random.nextExponential());
--- a/src/test/java/io/beryldock/admission/TargetGateScheduleTest.java
+++ b/src/test/java/io/beryldock/admission/TargetGateScheduleTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.beryldock.admission.GateFixture.Heard;
+import io.beryldock.admission.GateFixture.RecordingListener;
 import io.beryldock.call.Incarnation;
 import io.beryldock.call.PriorityClass;
 import io.beryldock.call.Reason;
@@ -22,7 +22,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Random schedules of submissions, releases, cancellations, drains and changed slots on injected time. */
+/** Tests random schedules of submissions, releases, cancellations, drains and slot changes on simulated time. */
 class TargetGateScheduleTest {
 
     private static final int THREADS = 4;
@@ -30,7 +30,7 @@
     private static final List<Completion> COMPLETIONS = List.of(Completion.values());
 
     @Property(tries = 300)
-    void whateverHappensEachRequestIsDecidedOnceAndSlotsAreKept(
+    void anyScheduleDecidesEachRequestOnceAndKeepsTheSlotBound(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int slots) {
         Run run = new Run(seed, slots);
         for (int i = 0; i < 400; i++) {
@@ -40,12 +40,12 @@
         run.finish();
     }
 
-    /** One schedule. */
+    /** A random schedule. */
     private static final class Run {
         private final Random random;
         private final GateFixture fixture;
-        private final List<Heard> all = new ArrayList<>();
-        private final List<Heard> running = new ArrayList<>();
+        private final List<RecordingListener> all = new ArrayList<>();
+        private final List<RecordingListener> running = new ArrayList<>();
         private int slots;
         private boolean draining;
 
@@ -56,17 +56,17 @@
         }
 
         void step() {
-            int dice = random.nextInt(100);
-            if (dice < 50) {
+            int draw = random.nextInt(100);
+            if (draw < 50) {
                 submit();
-            } else if (dice < 75 && !running.isEmpty()) {
+            } else if (draw < 75 && !running.isEmpty()) {
                 Completion completion = COMPLETIONS.get(random.nextInt(COMPLETIONS.size()));
                 running.remove(random.nextInt(running.size())).permit.release(completion);
-            } else if (dice < 80 && !all.isEmpty()) {
+            } else if (draw < 80 && !all.isEmpty()) {
                 all.get(random.nextInt(all.size())).handle.cancel();
-            } else if (dice < 97) {
-                fixture.pass(random.nextInt(20));
-            } else if (dice < 99) {
+            } else if (draw < 97) {
+                fixture.advance(random.nextInt(20));
+            } else if (draw < 99) {
                 draining = !draining;
                 setDraining();
             } else {
@@ -79,9 +79,9 @@
         private void submit() {
             int rank = random.nextInt(PriorityClass.RANKS);
             boolean full = fixture.gate.snapshot().inFlight() >= slots;
-            Heard heard = fixture.submit(rank, random.nextInt(50), 1 + random.nextInt(300));
-            assertThat(heard.admitted() && (full || draining)).isFalse();
-            all.add(heard);
+            RecordingListener listener = fixture.submit(rank, random.nextInt(50), 1 + random.nextInt(300));
+            assertThat(listener.admitted() && (full || draining)).isFalse();
+            all.add(listener);
         }
 
         private void setDraining() {
@@ -93,61 +93,65 @@
         }
 
         private void collectAdmitted() {
-            all.stream().filter(heard -> heard.admitted() && !heard.noted).forEach(heard -> {
-                heard.noted = true;
-                running.add(heard);
-                assertNoneMoreImportantWaits(heard);
-            });
+            all.stream()
+                    .filter(listener -> listener.admitted() && !listener.collected)
+                    .forEach(listener -> {
+                        listener.collected = true;
+                        running.add(listener);
+                        assertNoMoreImportantRequestIsWaiting(listener);
+                    });
         }
 
-        /** With one admission a step at most one more important request could have been passed over. */
-        private void assertNoneMoreImportantWaits(Heard admitted) {
-            boolean passedOver = all.stream().anyMatch(heard -> heard.waits() && heard.rank < admitted.rank);
+        /** Checks that no request that is more important than the admitted one still waits at the end of the step. */
+        private void assertNoMoreImportantRequestIsWaiting(RecordingListener admitted) {
+            boolean passedOver =
+                    all.stream().anyMatch(listener -> listener.isWaiting() && listener.rank < admitted.rank);
             assertThat(passedOver).isFalse();
         }
 
         void check() {
-            assertThat(all).allMatch(heard -> heard.calls <= 1);
-            assertThat(all).noneMatch(heard -> heard.admitted() && heard.reason != null);
+            assertThat(all).allMatch(listener -> listener.calls <= 1);
+            assertThat(all).noneMatch(listener -> listener.admitted() && listener.reason != null);
             GateSnapshot snapshot = fixture.gate.snapshot();
             assertThat(snapshot.inFlight()).isEqualTo(running.size());
-            assertThat(all.stream().filter(Heard::waits).count()).isEqualTo(snapshot.queued());
+            assertThat(all.stream().filter(RecordingListener::isWaiting).count())
+                    .isEqualTo(snapshot.queued());
             assertThat(draining && snapshot.queued() > 0).isFalse();
         }
 
         void finish() {
             fixture.gate.drain();
-            running.forEach(Heard::succeed);
-            assertThat(all).allMatch(heard -> heard.calls == 1);
+            running.forEach(RecordingListener::succeed);
+            assertThat(all).allMatch(listener -> listener.calls == 1);
             assertThat(fixture.gate.idle()).isDone();
         }
     }
 
-    // The target's process is gone and each connection is refused at once, so a request ends while its admission is
-    // being
-    // told. Many threads ask meanwhile: the slots must hold, and no thread may run out of stack.
+    // The target's process is gone and each connection is refused immediately, so a request ends while its admission is
+    // being notified. Many threads submit at the same time: the slot bound must hold, and no thread may overflow its
+    // stack.
     @Example
-    void workThatEndsAtOnceKeepsTheSlotsWithManyThreads() throws Exception {
+    void workThatEndsImmediatelyKeepsTheSlotBoundWithManyThreads() throws Exception {
         GateFixture fixture = new GateFixture(GateFixture.warm(3));
-        AtomicInteger inside = new AtomicInteger();
-        AtomicInteger most = new AtomicInteger();
+        AtomicInteger running = new AtomicInteger();
+        AtomicInteger maxRunning = new AtomicInteger();
         AtomicInteger decisions = new AtomicInteger();
         ExecutorService threads = Executors.newFixedThreadPool(THREADS);
-        List<Future<?>> asking = new ArrayList<>();
+        List<Future<?>> submitters = new ArrayList<>();
         for (int t = 0; t < THREADS; t++) {
-            asking.add(threads.submit(() -> {
+            submitters.add(threads.submit(() -> {
                 for (int i = 0; i < REQUESTS_EACH; i++) {
-                    fixture.gate.submit(request(), new Worker(inside, most, decisions));
+                    fixture.gate.submit(request(), new ImmediateWorker(running, maxRunning, decisions));
                 }
             }));
         }
-        for (Future<?> each : asking) {
+        for (Future<?> each : submitters) {
             each.get(1, TimeUnit.MINUTES);
         }
         threads.shutdown();
         fixture.gate.drain();
         assertThat(decisions.get()).isEqualTo(THREADS * REQUESTS_EACH);
-        assertThat(most.get()).isBetween(1, 3);
+        assertThat(maxRunning.get()).isBetween(1, 3);
         assertThat(fixture.gate.idle()).isDone();
     }
 
@@ -162,13 +166,16 @@
                 Duration.ofSeconds(1).toNanos());
     }
 
-    /** Runs at once on the thread that was told and counts how many run. */
-    private record Worker(AtomicInteger inside, AtomicInteger most, AtomicInteger decisions) implements GateListener {
+    /**
+     * Completes the request on the notifying thread and records the highest number of concurrently running requests.
+     */
+    private record ImmediateWorker(AtomicInteger running, AtomicInteger maxRunning, AtomicInteger decisions)
+            implements GateListener {
         @Override
         public void admitted(Permit permit) {
             decisions.incrementAndGet();
-            most.accumulateAndGet(inside.incrementAndGet(), Math::max);
-            inside.decrementAndGet();
+            maxRunning.accumulateAndGet(running.incrementAndGet(), Math::max);
+            running.decrementAndGet();
             permit.release(Completion.SUCCEEDED);
         }
 
