--- a/src/main/java/io/beryldock/waiting/DecidedRequest.java
+++ b/src/main/java/io/beryldock/waiting/DecidedRequest.java
@@ -3,7 +3,7 @@
 import io.beryldock.waiting.EntryAdmission.Pending;
 import java.util.concurrent.CompletableFuture;
 
-/** A request that did not have to wait for its decision. Immutable. */
+/** A request that was decided on arrival, without waiting. Immutable. */
 record DecidedRequest(CompletableFuture<EntryDecision> decision) implements Pending {
 
     private static final DecidedRequest NOT_GOVERNED = of(EntryDecision.notGoverned());
@@ -18,6 +18,6 @@
 
     @Override
     public void leave() {
-        // It holds no place.
+        // The request is not queued, so there is nothing to remove.
     }
 }
--- a/src/main/java/io/beryldock/waiting/DecisionCompleter.java
+++ b/src/main/java/io/beryldock/waiting/DecisionCompleter.java
@@ -5,34 +5,35 @@
 import java.util.Queue;
 
 /**
- * Tells waiting requests what was decided, one after the other.
+ * Completes the decisions of requests one after the other.
  *
- * <p>What follows from a decision may end at once and free credits for the next one; told within one another, many such
- * decisions would overflow the stack. So what a decision causes is told by the same thread after it. Thread safe.
+ * <p>The work that follows a decision may end immediately and release credits for the next request; nested completions
+ * of many such decisions would overflow the stack. Decisions that a completion triggers are therefore queued and
+ * completed by the same thread after it. Thread safe.
  */
-final class DecisionTelling {
+final class DecisionCompleter {
 
-    private static final ThreadLocal<Queue<Waiter>> TELLING = new ThreadLocal<>();
+    private static final ThreadLocal<Queue<Waiter>> COMPLETING = new ThreadLocal<>();
 
-    private DecisionTelling() {}
+    private DecisionCompleter() {}
 
-    static void tell(List<Waiter> decided) {
+    static void completeAll(List<Waiter> decided) {
         if (decided.isEmpty()) {
             return;
         }
-        Queue<Waiter> outer = TELLING.get();
+        Queue<Waiter> outer = COMPLETING.get();
         if (outer != null) {
             outer.addAll(decided);
             return;
         }
-        Queue<Waiter> all = new ArrayDeque<>(decided);
-        TELLING.set(all);
+        Queue<Waiter> pending = new ArrayDeque<>(decided);
+        COMPLETING.set(pending);
         try {
-            for (Waiter next = all.poll(); next != null; next = all.poll()) {
-                next.tell();
+            for (Waiter next = pending.poll(); next != null; next = pending.poll()) {
+                next.completeDecision();
             }
         } finally {
-            TELLING.remove();
+            COMPLETING.remove();
         }
     }
 }
--- a/src/main/java/io/beryldock/waiting/EntryAdmission.java
+++ b/src/main/java/io/beryldock/waiting/EntryAdmission.java
@@ -2,26 +2,26 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Decides when a caller's request starts. Thread safe. */
+/** Decides whether and when a caller's request starts. Thread safe. */
 public interface EntryAdmission {
 
-    /** A request that is being decided over. */
+    /** A request whose decision may be pending. */
     interface Pending {
 
         /**
-         * Completes once, never fails.
+         * Completes exactly once and never exceptionally.
          *
-         * <p>At the latest when the request can no longer meet its objective; one that can't when it comes waits at
-         * most while its caller still takes an answer.
+         * <p>It completes before the request becomes unable to meet its objective. A request that is unable to do so on
+         * arrival waits at most as long as its caller still accepts an answer.
          */
         CompletableFuture<EntryDecision> decision();
 
-        /** The caller is gone: its place is free for others. */
+        /** Cancels the wait because the caller has left, which frees the request's place in the queue. */
         void leave();
     }
 
     Pending admit(WaitingRequest request);
 
-    /** The node stops: whoever waits is refused now, and so is who comes later. */
+    /** Stops admission because the node stops: waiting requests are refused now, and so are later ones. */
     void stop();
 }
--- a/src/main/java/io/beryldock/waiting/EntryDecision.java
+++ b/src/main/java/io/beryldock/waiting/EntryDecision.java
@@ -1,9 +1,9 @@
 package io.beryldock.waiting;
 
 /**
- * What an entry decides over a caller's request. Immutable.
+ * Decision of an entry node on a caller's request. Immutable.
  *
- * @param retryAfterMillis when a refused caller may come back
+ * @param retryAfterMillis delay after which a refused caller may retry
  */
 public record EntryDecision(Kind kind, long retryAfterMillis) {
 
@@ -11,15 +11,15 @@
     private static final EntryDecision NOT_GOVERNED = new EntryDecision(Kind.NOT_GOVERNED, 0);
     private static final EntryDecision GONE = new EntryDecision(Kind.GONE, 0);
 
-    /** What becomes of the request. */
+    /** Outcome of the decision. */
     public enum Kind {
-        /** It starts, and credits cover its whole tree. */
+        /** The request starts, and credits cover its whole call tree. */
         COVERED,
-        /** No credits are needed or known: the levels of services decide. */
+        /** Credits are not needed or not known; the levels that services report decide. */
         NOT_GOVERNED,
-        /** It does not start. */
+        /** The request does not start. */
         REFUSED,
-        /** Its caller left while it waited. */
+        /** The caller left while the request waited. */
         GONE
     }
 
--- a/src/main/java/io/beryldock/waiting/EntryWaiting.java
+++ b/src/main/java/io/beryldock/waiting/EntryWaiting.java
@@ -11,12 +11,12 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * The requests that wait at one entry: one short lock around {@link WaitingRoom}, which decides.
+ * The requests that wait at one entry node: a lock, held briefly, around {@link WaitingRoom}, which decides.
  *
- * <p>Thread safe. Invariants: decisions are told without the lock; there is one timer while requests wait and none
- * while nobody does; requests that need no credits take no lock. The credits may tell of new ones on any thread, also
- * within a call of this class: whoever holds the lock then looks again. The room and the timer are guarded by the
- * lock.
+ * <p>Thread safe. Invariants: decisions are completed without the lock; one timer is set while requests wait and none
+ * otherwise; requests that need no credits take no lock. New credits may be announced on any thread, also during a call
+ * of this class; the holder of the lock then offers them to the waiting requests. The waiting room and the timer are
+ * guarded by the lock.
  */
 public final class EntryWaiting implements EntryAdmission {
 
@@ -26,11 +26,11 @@
     private final TimerService timers;
     private final Ticker ticker;
     private final ReentrantLock lock = new ReentrantLock();
-    private final AtomicBoolean creditsCame = new AtomicBoolean();
+    private final AtomicBoolean newCredits = new AtomicBoolean();
     private final WaitingRoom room;
     private Subscription timer = NO_TIMER;
     private long timerDue;
-    private long armed;
+    private long timerNumber;
     private volatile boolean stopped;
 
     private EntryWaiting(WaitingPorts ports, TimerService timers, WaitingOrder order) {
@@ -60,7 +60,7 @@
         }
         ports.credits().demand(request.tree(), request.claimant());
         Waiter[] arrived = new Waiter[1];
-        decide((now, out) -> arrived[0] = room.arrive(request, this::leave, now, out));
+        decide((now, out) -> arrived[0] = room.arrive(request, this::cancel, now, out));
         return arrived[0];
     }
 
@@ -79,25 +79,28 @@
         }
     }
 
-    private void leave(Waiter waiter) {
-        decide((now, out) -> room.leave(waiter, out));
+    private void cancel(Waiter waiter) {
+        decide((now, out) -> room.cancel(waiter, out));
     }
 
     private void onCredits() {
-        creditsCame.set(true);
+        newCredits.set(true);
         offerNewCredits();
     }
 
-    /** Waits for no lock: who holds it offers the credits after its own decision. */
+    /**
+     * Offers new credits without waiting for the lock: if another thread holds it, that thread offers the credits after
+     * its own decision.
+     */
     private void offerNewCredits() {
-        while (creditsCame.get() && !lock.isHeldByCurrentThread() && lock.tryLock()) {
+        while (newCredits.get() && !lock.isHeldByCurrentThread() && lock.tryLock()) {
             List<Waiter> out = new ArrayList<>();
             try {
                 decideLocked((now, decided) -> {}, out);
             } finally {
                 lock.unlock();
             }
-            DecisionTelling.tell(out);
+            DecisionCompleter.completeAll(out);
         }
     }
 
@@ -109,21 +112,24 @@
         } finally {
             lock.unlock();
         }
-        DecisionTelling.tell(out);
+        DecisionCompleter.completeAll(out);
         offerNewCredits();
     }
 
-    /** Those who wait are offered new credits before anyone who comes; the lock is held. */
+    /**
+     * Offers new credits to waiting requests before it makes the decision, so that a new request cannot take them
+     * first. The lock is held.
+     */
     private void decideLocked(Decision decision, List<Waiter> out) {
         long now = ticker.nanos();
-        if (creditsCame.getAndSet(false)) {
+        if (newCredits.getAndSet(false)) {
             room.review(now, out);
         }
         decision.make(now, out);
-        arm(now);
+        armTimer(now);
     }
 
-    private void arm(long now) {
+    private void armTimer(long now) {
         Optional<Duration> next = room.nextReview(now);
         if (next.isEmpty()) {
             timer.cancel();
@@ -133,23 +139,26 @@
         long due = now + next.get().toNanos();
         if (timer == NO_TIMER || due - timerDue < 0) {
             timer.cancel();
-            long number = ++armed;
+            long number = ++timerNumber;
             timer = timers.after(next.get(), () -> onTimer(number));
             timerDue = due;
         }
     }
 
-    /** A timer that was set anew while its task waited for the lock is not forgotten. */
+    /**
+     * Reviews the waiting requests. If the timer was set again while this task waited for the lock, the newer timer is
+     * kept.
+     */
     private void onTimer(long number) {
         decide((now, out) -> {
-            if (number == armed) {
+            if (number == timerNumber) {
                 timer = NO_TIMER;
             }
             room.review(now, out);
         });
     }
 
-    /** A decision of the room at a time. */
+    /** A call of the waiting room that makes decisions at a given time. */
     @FunctionalInterface
     private interface Decision {
         void make(long now, List<Waiter> out);
--- a/src/main/java/io/beryldock/waiting/ExpectedRetries.java
+++ b/src/main/java/io/beryldock/waiting/ExpectedRetries.java
@@ -9,55 +9,61 @@
 import java.util.TreeSet;
 
 /**
- * The times at which refused callers were told to come back.
+ * Retries that are expected from refused callers, with the times at which they were told to retry.
  *
- * <p>A caller that comes back is known by the end of its time, which a refusal does not move. One that comes earlier
- * than it was told is told the rest of that time: were it treated as new, asking at once and often would take places
- * from those who wait. Callers that were told a time count as waiting when others are told theirs, so that each is
- * told a time behind them. Memory is bounded: the promises that are due first are dropped. Guarded by the lock of the
- * entry.
+ * <p>A retry is recognised by the absolute deadline of its request, which does not change on a refusal. A caller that
+ * retries too early is told the rest of its delay: if it were treated as new, callers that retry immediately and often
+ * would take the places of waiting ones. Expected retries count as waiting requests when another caller is told a time,
+ * so that this caller is scheduled behind them. Memory is bounded: the retries that are due first are dropped. Guarded
+ * by the lock of the entry.
  */
-final class ReturnPromises {
+final class ExpectedRetries {
 
-    /** Most promises held; beyond them the returned are believed. */
-    private static final int MAX_PROMISES = 4_096;
+    /**
+     * Maximum number of expected retries that are kept; a retry whose record was dropped is accepted as being on time.
+     */
+    private static final int MAX_EXPECTED_RETRIES = 4_096;
 
-    /** Callers name their time in milliseconds and their way to the entry varies. */
-    private static final long SAME_DEADLINE_NANOS = Duration.ofMillis(15).toNanos();
+    /**
+     * Tolerance when deadlines are compared, as callers state their time in milliseconds and the delay on the way to
+     * the entry node varies.
+     */
+    private static final long DEADLINE_TOLERANCE_NANOS = Duration.ofMillis(15).toNanos();
 
-    /** Clocks of callers may run a little fast. */
-    private static final long EARLY_NANOS = Duration.ofMillis(20).toNanos();
+    /** Tolerance for early retries, as the clocks of callers may run slightly fast. */
+    private static final long EARLY_TOLERANCE_NANOS = Duration.ofMillis(20).toNanos();
 
-    /** A caller that has not come back by then has left. */
-    private static final long GRACE_NANOS = Duration.ofMillis(300).toNanos();
+    /** Time after the due time when an expected retry is dropped, as its caller has probably left. */
+    private static final long EXPIRY_NANOS = Duration.ofMillis(300).toNanos();
 
-    private final TreeSet<Promise> byDeadline = new TreeSet<>(Promise.BY_DEADLINE);
-    private final TreeSet<Promise> byDue = new TreeSet<>(Promise.BY_DUE);
+    private final TreeSet<ExpectedRetry> byDeadline = new TreeSet<>(ExpectedRetry.BY_DEADLINE);
+    private final TreeSet<ExpectedRetry> byDue = new TreeSet<>(ExpectedRetry.BY_DUE);
     private final int[] inTime = new int[PriorityClass.RANKS];
     private final int[] late = new int[PriorityClass.RANKS];
     private long order;
 
     /**
-     * One promise.
+     * An expected retry.
      *
-     * @param deadline end of the caller's time
-     * @param dueAt when it was told to come back
-     * @param meetsObjective whether it will still meet its objective then, and so go before new ones of its rank
+     * @param deadline deadline of the request
+     * @param dueAt time at which the caller was told to retry
+     * @param meetsObjective whether the request can still meet its objective at that time, so that it goes before new
+     *     requests of its rank
      */
-    private record Promise(
+    private record ExpectedRetry(
             TreeKey tree, Claimant claimant, long deadline, long dueAt, boolean meetsObjective, long order) {
 
-        static final Comparator<Promise> BY_DEADLINE = (a, b) -> compare(a.deadline, b.deadline, a, b);
-        static final Comparator<Promise> BY_DUE = (a, b) -> compare(a.dueAt, b.dueAt, a, b);
+        static final Comparator<ExpectedRetry> BY_DEADLINE = (a, b) -> compare(a.deadline, b.deadline, a, b);
+        static final Comparator<ExpectedRetry> BY_DUE = (a, b) -> compare(a.dueAt, b.dueAt, a, b);
 
-        private static int compare(long timeA, long timeB, Promise a, Promise b) {
+        private static int compare(long timeA, long timeB, ExpectedRetry a, ExpectedRetry b) {
             int byTime = Long.signum(timeA - timeB);
             return byTime != 0 ? byTime : Long.compare(a.order, b.order);
         }
 
         long earlyNanos(long now) {
             long early = dueAt - now;
-            return early <= EARLY_NANOS ? 0 : early;
+            return early <= EARLY_TOLERANCE_NANOS ? 0 : early;
         }
 
         boolean isOf(WaitingRequest request) {
@@ -65,82 +71,83 @@
         }
     }
 
-    /** Notes that the caller of a refused request was told a time. */
+    /** Records that the caller of a refused request was told a time. */
     void add(WaitingRequest request, long dueAt, boolean meetsObjective, long now) {
-        lapse(now);
+        dropExpired(now);
         long deadline = now + request.remainingNanos();
-        Promise made = new Promise(request.tree(), request.claimant(), deadline, dueAt, meetsObjective, order++);
-        byDeadline.add(made);
-        byDue.add(made);
-        counts(made)[made.claimant().rank()]++;
-        if (byDue.size() > MAX_PROMISES) {
+        ExpectedRetry retry =
+                new ExpectedRetry(request.tree(), request.claimant(), deadline, dueAt, meetsObjective, order++);
+        byDeadline.add(retry);
+        byDue.add(retry);
+        counts(retry)[retry.claimant().rank()]++;
+        if (byDue.size() > MAX_EXPECTED_RETRIES) {
             remove(byDue.first());
         }
     }
 
-    private int[] counts(Promise promise) {
-        return promise.meetsObjective() ? inTime : late;
+    private int[] counts(ExpectedRetry retry) {
+        return retry.meetsObjective() ? inTime : late;
     }
 
     /**
-     * How much earlier than it was told a request comes that was refused before; 0 when it has kept its place, and its
-     * promise is used up.
+     * Returns how much too early a request is retried. If the result is 0, the request is on time and its expected
+     * retry is removed.
      *
-     * <p>One of which nothing is known is believed: it was told its time by another entry. Of several that it may be,
-     * one whose time has come is taken, so that nobody who kept its promise is sent away.
+     * <p>A retry without a record counts as on time, because another entry node may have told the caller the time. If
+     * several records match, one that is due is preferred, so that a caller that retries on time is not rejected.
      */
-    long redeem(WaitingRequest request, long now) {
-        lapse(now);
-        Optional<Promise> known = find(request, now);
-        long early = known.map(promise -> promise.earlyNanos(now)).orElse(0L);
+    long claim(WaitingRequest request, long now) {
+        dropExpired(now);
+        Optional<ExpectedRetry> match = find(request, now);
+        long early = match.map(retry -> retry.earlyNanos(now)).orElse(0L);
         if (early == 0) {
-            known.ifPresent(this::remove);
+            match.ifPresent(this::remove);
         }
         return early;
     }
 
-    /** Callers of this rank and those before it that will come back and go before new ones. */
+    /** Returns the number of expected retries of this rank and more important ones that go before new requests. */
     int aheadOfNew(int rank, long now) {
-        lapse(now);
+        dropExpired(now);
         return sum(inTime, rank);
     }
 
-    /** All callers of this rank and those before it that will come back. */
+    /** Returns the number of all expected retries of this rank and more important ones. */
     int all(int rank, long now) {
-        lapse(now);
+        dropExpired(now);
         return sum(inTime, rank) + sum(late, rank);
     }
 
-    private static int sum(int[] ofRank, int last) {
+    private static int sum(int[] countsByRank, int last) {
         int sum = 0;
         for (int i = 0; i <= last; i++) {
-            sum += ofRank[i];
+            sum += countsByRank[i];
         }
         return sum;
     }
 
-    private Optional<Promise> find(WaitingRequest request, long now) {
+    private Optional<ExpectedRetry> find(WaitingRequest request, long now) {
         long deadline = now + request.remainingNanos();
-        Promise from = bound(request, deadline - SAME_DEADLINE_NANOS);
-        Promise to = bound(request, deadline + SAME_DEADLINE_NANOS);
+        ExpectedRetry from = bound(request, deadline - DEADLINE_TOLERANCE_NANOS);
+        ExpectedRetry to = bound(request, deadline + DEADLINE_TOLERANCE_NANOS);
         return byDeadline.subSet(from, to).stream()
-                .filter(promise -> promise.isOf(request))
-                .min(Comparator.comparingLong(promise -> promise.earlyNanos(now)));
+                .filter(retry -> retry.isOf(request))
+                .min(Comparator.comparingLong(retry -> retry.earlyNanos(now)));
     }
 
-    private static Promise bound(WaitingRequest request, long deadline) {
-        return new Promise(request.tree(), request.claimant(), deadline, 0, false, -1);
+    private static ExpectedRetry bound(WaitingRequest request, long deadline) {
+        return new ExpectedRetry(request.tree(), request.claimant(), deadline, 0, false, -1);
     }
 
-    private void lapse(long now) {
-        while (!byDue.isEmpty() && now - byDue.first().dueAt() > GRACE_NANOS) {
+    private void dropExpired(long now) {
+        while (!byDue.isEmpty() && now - byDue.first().dueAt() > EXPIRY_NANOS) {
             remove(byDue.first());
         }
     }
 
-    private void remove(Promise promise) {
-        byDue.remove(promise);
-        byDeadline.remove(promise);
-        counts(promise)[promise.claimant().rank()]--;
+    private void remove(ExpectedRetry retry) {
+        byDue.remove(retry);
+        byDeadline.remove(retry);
+        counts(retry)[retry.claimant().rank()]--;
     }
 }
--- a/src/main/java/io/beryldock/waiting/Lane.java
+++ b/src/main/java/io/beryldock/waiting/Lane.java
@@ -1,11 +1,14 @@
 package io.beryldock.waiting;
 
-/** Among requests of one rank, those of an earlier lane go first. */
+/** Order of precedence among requests of one rank: requests in an earlier lane are served first. */
 enum Lane {
-    /** Was refused, came back when it was told, and can still meet its objective. */
+    /**
+     * The request was refused before, was retried at the time that its caller was told, and can still meet its
+     * objective.
+     */
     RETURNED,
-    /** Can meet its objective. */
+    /** The request is new and can meet its objective. */
     NEW,
-    /** Can no longer meet its objective, but an answer is still of use to its caller. */
+    /** The request can no longer meet its objective, but an answer is still useful to its caller. */
     LATE
 }
--- a/src/main/java/io/beryldock/waiting/RecentService.java
+++ b/src/main/java/io/beryldock/waiting/RecentService.java
@@ -12,18 +12,21 @@
 import java.util.Set;
 
 /**
- * Slot time that organisations were given of late, in this window and the one before.
+ * Slot time that was recently granted to each organisation, in the current window and the one before.
  *
  * <p>Memory is held only for organisations that were served within two windows. Guarded by the lock of the entry.
  */
 final class RecentService {
 
-    /** Long enough to see more than single trees, short enough that one who was quiet is not owed minutes. */
+    /**
+     * Long enough to cover more than single call trees, short enough that an idle organisation does not accumulate a
+     * claim to minutes of slot time.
+     */
     private static final long WINDOW_NANOS = Duration.ofSeconds(2).toNanos();
 
     private static final int TOP = 10;
 
-    private Map<OrganisationName, Long> before = new HashMap<>();
+    private Map<OrganisationName, Long> previous = new HashMap<>();
     private Map<OrganisationName, Long> current = new HashMap<>();
     private long currentSince;
 
@@ -36,28 +39,28 @@
         organisation.ifPresent(name -> current.merge(name, slotNanos, Long::sum));
     }
 
-    /** Moves on to the window of this time. */
+    /** Advances to the window that contains this time. */
     void advance(long now) {
         if (now - currentSince < WINDOW_NANOS) {
             return;
         }
-        before = now - currentSince < 2 * WINDOW_NANOS ? current : new HashMap<>();
+        previous = now - currentSince < 2 * WINDOW_NANOS ? current : new HashMap<>();
         current = new HashMap<>();
         currentSince = now;
     }
 
-    /** Slot time given up to the last {@link #advance}; 0 for requests without an organisation. */
+    /** Returns the slot time granted up to the last {@link #advance}; 0 for requests without an organisation. */
     long nanos(Optional<OrganisationName> organisation) {
         return organisation.map(this::nanos).orElse(0L);
     }
 
     private long nanos(OrganisationName name) {
-        return before.getOrDefault(name, 0L) + current.getOrDefault(name, 0L);
+        return previous.getOrDefault(name, 0L) + current.getOrDefault(name, 0L);
     }
 
-    /** Those given most, the largest first. */
+    /** Returns the organisations that were granted the most slot time, the largest first. */
     ImmutableList<Served> top() {
-        Set<OrganisationName> names = new HashSet<>(before.keySet());
+        Set<OrganisationName> names = new HashSet<>(previous.keySet());
         names.addAll(current.keySet());
         return names.stream()
                 .map(name -> new Served(name, nanos(name)))
--- a/src/main/java/io/beryldock/waiting/RetryDelay.java
+++ b/src/main/java/io/beryldock/waiting/RetryDelay.java
@@ -5,30 +5,36 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a refused caller should come back: when room is expected for it.
+ * Computes the delay after which a refused caller should retry: when capacity is expected for it.
  *
- * <p>Spread, since callers refused together would else return together; never later than an answer is of use to it, but
- * for callers whose time is over, for whom it tells when a new request is welcome. Stateless but for the generator.
+ * <p>The delays are spread, since callers that are refused together would otherwise retry together. A delay never ends
+ * later than an answer is useful to the caller; a caller whose time is over is told when a new request may be sent.
+ * Stateless except for the generator.
  */
-final class ReturnTime {
+final class RetryDelay {
 
-    /** Shorter than a credit round a return finds what the refusal found. */
+    /** Within less than a credit round, a retry would meet the same conditions as the refusal. */
     private static final long MIN_SPREAD_NANOS = Duration.ofMillis(100).toNanos();
 
-    /** What is expected far ahead is known less well. */
+    /** Share of the expected delay by which it is spread, as estimates far ahead are less accurate. */
     private static final double SPREAD_SHARE = 0.25;
 
-    /** The earliest part of its time at which a caller is told to return when room is expected too late for it. */
+    /**
+     * Share of the caller's usable time before which it is not told to retry when capacity is expected too late for it.
+     */
     private static final double LATE_SHARE = 0.75;
 
-    /** Beyond it nothing can be expected. */
+    /** Longest delay for which an estimate is meaningful. */
     private static final long MAX_EXPECTED_NANOS = Duration.ofSeconds(30).toNanos();
 
-    private ReturnTime() {}
+    private RetryDelay() {}
 
     /**
-     * @param expectedNanos until there is room
-     * @param usableNanos until it is too late to start for this caller
+     * Returns the delay in milliseconds, at least 1.
+     *
+     * @param expectedNanos time until capacity is expected
+     * @param usableNanos time until it is too late for the caller's request to start; 0 or less when it is too late
+     *     already
      */
     static long millis(long expectedNanos, long usableNanos, RandomGenerator random) {
         long expected = Math.max(0, Math.min(expectedNanos, MAX_EXPECTED_NANOS));
--- a/src/main/java/io/beryldock/waiting/Waiter.java
+++ b/src/main/java/io/beryldock/waiting/Waiter.java
@@ -6,18 +6,18 @@
 import java.util.function.Consumer;
 
 /**
- * One request that is decided over, from its arrival to its decision.
+ * A request and its decision, from its arrival on.
  *
- * <p>Invariant: decided once, under the lock of the entry, and told after it. What is known at its arrival is
- * immutable.
+ * <p>Invariant: the decision is made exactly once, under the lock of the entry, and completed after the lock is
+ * released. The properties that are known on arrival are immutable.
  */
 final class Waiter implements Pending {
 
-    /** More important first: rank, then lane, then the earlier. */
+    /** Orders the most important request first: by rank, then lane, then arrival. */
     static final Comparator<Waiter> BY_IMPORTANCE =
             Comparator.comparingInt(Waiter::rank).thenComparing(Waiter::lane).thenComparingLong(Waiter::order);
 
-    /** Those first that must be decided first. */
+    /** Orders the request that must be decided first to the front. */
     static final Comparator<Waiter> BY_EXPIRY = Waiter::compareExpiry;
 
     private final WaitingRequest request;
@@ -25,21 +25,21 @@
     private final long arrivedAt;
     private final long expiresAt;
     private final long order;
-    private final Consumer<Waiter> leaver;
+    private final Consumer<Waiter> onCancel;
     private final CompletableFuture<EntryDecision> decision = new CompletableFuture<>();
     private EntryDecision decided;
 
     /**
-     * @param maxWaitNanos how long it can wait; 0 or less when it has to be decided at once
-     * @param leaver is told when the caller leaves
+     * @param maxWaitNanos how long the request can wait; 0 or less when it has to be decided at once
+     * @param onCancel called when the caller leaves
      */
-    Waiter(WaitingRequest request, Lane lane, long now, long maxWaitNanos, long order, Consumer<Waiter> leaver) {
+    Waiter(WaitingRequest request, Lane lane, long now, long maxWaitNanos, long order, Consumer<Waiter> onCancel) {
         this.request = request;
         this.lane = lane;
         this.arrivedAt = now;
         this.expiresAt = now + maxWaitNanos;
         this.order = order;
-        this.leaver = leaver;
+        this.onCancel = onCancel;
     }
 
     @Override
@@ -49,7 +49,7 @@
 
     @Override
     public void leave() {
-        leaver.accept(this);
+        onCancel.accept(this);
     }
 
     WaitingRequest request() {
@@ -80,7 +80,7 @@
         return now - arrivedAt;
     }
 
-    /** What was asked, with the time that is left by now. */
+    /** Returns the request with the times that are left at this time. */
     WaitingRequest requestAt(long now) {
         long waited = waitedNanos(now);
         return new WaitingRequest(
@@ -100,8 +100,11 @@
         decided = made;
     }
 
-    /** Tells the decision; without the lock, since what follows from it may ask the entry again. */
-    void tell() {
+    /**
+     * Completes the decision. Called without the lock, since the work that follows may send new requests to the entry
+     * node.
+     */
+    void completeDecision() {
         decision.complete(decided);
     }
 
--- a/src/main/java/io/beryldock/waiting/WaitingLine.java
+++ b/src/main/java/io/beryldock/waiting/WaitingLine.java
@@ -7,7 +7,8 @@
 import java.util.Set;
 
 /**
- * Requests that wait for the same credits and are alike in all but their arrival, the earliest first.
+ * Waiting requests that have the same call tree, claimant and lane and differ only in their arrival, the earliest
+ * first.
  *
  * <p>Guarded by the lock of the entry.
  */
@@ -20,7 +21,7 @@
         this.key = key;
     }
 
-    /** What the requests of a line share. */
+    /** Properties that the requests of a line share. */
     record Key(TreeKey tree, Claimant claimant, Lane lane) {
 
         static Key of(Waiter waiter) {
@@ -28,7 +29,7 @@
             return new Key(request.tree(), request.claimant(), waiter.lane());
         }
 
-        /** All lanes of one claimant are served from the same credits. */
+        /** Whether both lines take the same credits: all lanes of one tree and claimant share their credits. */
         boolean sharesCredits(Key other) {
             return claimant.equals(other.claimant) && tree.equals(other.tree);
         }
@@ -71,7 +72,7 @@
         return earliest.next();
     }
 
-    /** When its first request came, in the order of arrivals. */
+    /** Returns the arrival number of the first request. */
     long firstOrder() {
         return first().order();
     }
--- a/src/main/java/io/beryldock/waiting/WaitingOrder.java
+++ b/src/main/java/io/beryldock/waiting/WaitingOrder.java
@@ -3,18 +3,18 @@
 import java.util.Comparator;
 import java.util.function.ToLongFunction;
 
-/** In which order lines are offered credits. */
+/** Order in which lines are offered credits. */
 @FunctionalInterface
 interface WaitingOrder {
 
     /**
-     * Compares two lines; the first in order is offered credits first.
+     * Returns a comparator of lines; the first line in order is offered credits first.
      *
-     * @param served slot time that the organisation of a line was given of late
+     * @param served slot time that was recently granted to the organisation of a line
      */
     Comparator<WaitingLine> comparing(ToLongFunction<WaitingLine> served);
 
-    /** Rank, then lane, then the organisation that was given least, then the earlier. */
+    /** Orders by rank, then lane, then least slot time granted to the organisation, then earliest arrival. */
     static WaitingOrder fair() {
         return served -> Comparator.<WaitingLine>comparingInt(
                         line -> line.claimant().rank())
--- a/src/main/java/io/beryldock/waiting/WaitingPorts.java
+++ b/src/main/java/io/beryldock/waiting/WaitingPorts.java
@@ -8,10 +8,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What the waiting room works with. Immutable.
+ * Dependencies of {@link EntryWaiting}. Immutable.
  *
- * @param slotNanos slot time that a tree of this kind takes, by which organisations are compared
- * @param random a thread safe generator
+ * @param slotNanos slot time that a call tree of this kind takes, by which organisations are compared
+ * @param random a thread-safe generator
  */
 public record WaitingPorts(
         WaitingSettings settings,
@@ -25,7 +25,7 @@
         Objects.requireNonNull(credits, "credits");
     }
 
-    /** Compares organisations by the usual time of their trees. */
+    /** Creates the dependencies of an entry that compares organisations by the usual time of their call trees. */
     public static WaitingPorts of(
             WaitingSettings settings, TreeCredits credits, RandomGenerator random, EventSink events) {
         return new WaitingPorts(settings, credits, credits::usualNanos, random, events);
--- a/src/main/java/io/beryldock/waiting/WaitingQueue.java
+++ b/src/main/java/io/beryldock/waiting/WaitingQueue.java
@@ -12,9 +12,9 @@
 import java.util.stream.IntStream;
 
 /**
- * The requests that wait, by line, by importance and by the end of their wait.
+ * The waiting requests, indexed by line, by importance and by the end of their wait.
  *
- * <p>Invariants: a request is in all three orders or in none; no line is empty. Guarded by the lock of the entry.
+ * <p>Invariants: a request is in all three indexes or in none; no line is empty. Guarded by the lock of the entry.
  */
 final class WaitingQueue {
 
@@ -23,22 +23,22 @@
     private final Map<WaitingLine.Key, WaitingLine> lines = new HashMap<>();
     private final TreeSet<Waiter> byImportance = new TreeSet<>(Waiter.BY_IMPORTANCE);
     private final TreeSet<Waiter> byExpiry = new TreeSet<>(Waiter.BY_EXPIRY);
-    private final Map<Lane, int[]> ofRank = new EnumMap<>(Lane.class);
+    private final Map<Lane, int[]> countsByLane = new EnumMap<>(Lane.class);
     private long bytes;
 
     WaitingQueue() {
-        LANES.forEach(lane -> ofRank.put(lane, new int[PriorityClass.RANKS]));
+        LANES.forEach(lane -> countsByLane.put(lane, new int[PriorityClass.RANKS]));
     }
 
     void add(Waiter waiter) {
         lines.computeIfAbsent(WaitingLine.Key.of(waiter), WaitingLine::new).add(waiter);
         byImportance.add(waiter);
         byExpiry.add(waiter);
-        ofRank.get(waiter.lane())[waiter.rank()]++;
+        countsByLane.get(waiter.lane())[waiter.rank()]++;
         bytes += waiter.request().bytes();
     }
 
-    /** Without effect when it does not wait. */
+    /** Removes a request; without effect, and false, when it is not waiting. */
     boolean remove(Waiter waiter) {
         if (!byImportance.remove(waiter)) {
             return false;
@@ -50,7 +50,7 @@
         if (line.isEmpty()) {
             lines.remove(key);
         }
-        ofRank.get(waiter.lane())[waiter.rank()]--;
+        countsByLane.get(waiter.lane())[waiter.rank()]--;
         bytes -= waiter.request().bytes();
         return true;
     }
@@ -67,7 +67,7 @@
         return bytes;
     }
 
-    /** Whether a request waits that is served from the same credits. */
+    /** Whether any waiting request takes the same credits. */
     boolean waitsFor(WaitingLine.Key key) {
         for (Lane lane : LANES) {
             if (lines.containsKey(key.inLane(lane))) {
@@ -77,21 +77,24 @@
         return false;
     }
 
-    /** Requests of the ranks before this one and, of the rank itself, those of this lane and of lanes before it. */
+    /**
+     * Returns the number of waiting requests of more important ranks, and of those of the rank itself in this lane or
+     * earlier ones.
+     */
     int ahead(int rank, Lane lane) {
         int sum = 0;
-        for (Lane each : LANES) {
-            int ranks = each.compareTo(lane) <= 0 ? rank + 1 : rank;
-            sum += Arrays.stream(ofRank.get(each), 0, ranks).sum();
+        for (Lane other : LANES) {
+            int ranks = other.compareTo(lane) <= 0 ? rank + 1 : rank;
+            sum += Arrays.stream(countsByLane.get(other), 0, ranks).sum();
         }
         return sum;
     }
 
-    private int ofRank(int rank) {
-        return LANES.stream().mapToInt(lane -> ofRank.get(lane)[rank]).sum();
+    private int countOfRank(int rank) {
+        return LANES.stream().mapToInt(lane -> countsByLane.get(lane)[rank]).sum();
     }
 
-    /** A copy, which stays as it is while requests leave their lines. */
+    /** Returns a copy of the lines, which does not change while requests leave the queue. */
     List<WaitingLine> lines() {
         return new ArrayList<>(lines.values());
     }
@@ -116,6 +119,8 @@
     }
 
     ImmutableList<Integer> byRank() {
-        return IntStream.range(0, PriorityClass.RANKS).mapToObj(this::ofRank).collect(ImmutableList.toImmutableList());
+        return IntStream.range(0, PriorityClass.RANKS)
+                .mapToObj(this::countOfRank)
+                .collect(ImmutableList.toImmutableList());
     }
 }
--- a/src/main/java/io/beryldock/waiting/WaitingRequest.java
+++ b/src/main/java/io/beryldock/waiting/WaitingRequest.java
@@ -7,10 +7,10 @@
 /**
  * A caller's request before its first call. Immutable.
  *
- * @param returned whether it was refused before and comes back at the time that its caller was told
- * @param objectiveNanos time from now within which an answer is worth most to the caller
- * @param remainingNanos time from now after which the caller takes no answer
- * @param bytes held for the request while it waits
+ * @param returned whether it was refused before and is a retry at the time that its caller was told
+ * @param objectiveNanos time from now within which an answer is most useful to the caller
+ * @param remainingNanos time from now after which the caller accepts no answer
+ * @param bytes memory held for the request while it waits
  */
 public record WaitingRequest(
         TreeKey tree, Claimant claimant, boolean returned, long objectiveNanos, long remainingNanos, int bytes) {
--- a/src/main/java/io/beryldock/waiting/WaitingRoom.java
+++ b/src/main/java/io/beryldock/waiting/WaitingRoom.java
@@ -13,29 +13,36 @@
 import java.util.function.Consumer;
 
 /**
- * Which requests of callers start, wait or are refused while whole trees need credits: a pure function of its state,
- * the event and the time.
+ * Decides which requests of callers start, wait or are refused while whole call trees need credits: a pure function of
+ * its state, the event and the time.
  *
- * <p>Answers the load at which callers ask an entry for more trees than services beneath it can finish, for seconds or
- * for good. Invariants: each request is decided once; one that can't meet its objective starts on credits that nobody
- * of its rank wants who can; none is offered credits before another one of its tree and claimant that is ahead of it; a
- * refused request has not run. Guarded by the lock of the entry.
+ * <p>It handles the load at which callers send an entry node more call trees than the services below can finish, for
+ * seconds or permanently. Invariants: each request is decided exactly once; a request that cannot meet its objective
+ * starts only on credits that no request of its rank that can meet its objective needs; no request is offered credits
+ * before another one of its tree and claimant that precedes it; a refused request has not run. Guarded by the lock of
+ * the entry.
  */
 final class WaitingRoom {
 
-    /** Part of a caller's time that it may wait: what is left then suffices to ask another entry. */
-    private static final double WAIT_SHARE = 0.5;
+    /** Share of a caller's remaining time that its request may wait; the rest suffices to try another entry node. */
+    private static final double MAX_WAIT_SHARE = 0.5;
 
-    /** Trees scatter around their usual time; half of it more covers most. */
-    private static final double TIME_NEEDED = 1.5;
+    /**
+     * Factor on the usual time of a call tree. Times vary around the usual one; half of it in addition covers most of
+     * them.
+     */
+    private static final double NEEDED_TIME_FACTOR = 1.5;
 
-    /** How soon it shows that a tree needs no credits any more, when nothing else happens. */
+    /**
+     * Review interval, which bounds the delay until a tree that no longer needs credits is released when no other event
+     * triggers a review.
+     */
     private static final long REVIEW_NANOS = Duration.ofMillis(50).toNanos();
 
     private final WaitingPorts ports;
     private final TreeCredits credits;
     private final WaitingQueue queue = new WaitingQueue();
-    private final ReturnPromises promises = new ReturnPromises();
+    private final ExpectedRetries expectedRetries = new ExpectedRetries();
     private final RecentService served;
     private final Comparator<WaitingLine> order;
     private final EventSampler refusals;
@@ -52,27 +59,27 @@
         this.refusals = new EventSampler(ports.events(), EventKind.SHED_AT_DOOR);
     }
 
-    /** Decides over a request whose tree needs credits, or lets it wait. */
-    Waiter arrive(WaitingRequest request, Consumer<Waiter> leaver, long now, List<Waiter> out) {
+    /** Decides on a request whose tree needs credits, or queues it. */
+    Waiter arrive(WaitingRequest request, Consumer<Waiter> onCancel, long now, List<Waiter> out) {
         served.advance(now);
-        long early = request.returned() ? promises.redeem(request, now) : 0;
-        Lane lane = lane(request, early);
-        Waiter waiter = new Waiter(request, lane, now, maxWaitNanos(request, lane), arrivals++, leaver);
+        long earlyNanos = request.returned() ? expectedRetries.claim(request, now) : 0;
+        Lane lane = lane(request, earlyNanos);
+        Waiter waiter = new Waiter(request, lane, now, maxWaitNanos(request, lane), arrivals++, onCancel);
         if (stopped) {
             refuse(waiter, RefusalCause.STOPPING, 0, now, out);
-        } else if (early > 0) {
-            decideOverEarly(waiter, early, now, out);
+        } else if (earlyNanos > 0) {
+            decideEarlyRetry(waiter, earlyNanos, now, out);
         } else {
             startOrWait(waiter, now, out);
         }
         return waiter;
     }
 
-    private void decideOverEarly(Waiter waiter, long early, long now, List<Waiter> out) {
+    private void decideEarlyRetry(Waiter waiter, long earlyNanos, long now, List<Waiter> out) {
         if (queue.isEmpty() && take(waiter.request())) {
             cover(waiter, now, out);
         } else {
-            refuse(waiter, RefusalCause.TOO_EARLY, Duration.ofNanos(early).toMillis(), now, out);
+            refuse(waiter, RefusalCause.TOO_EARLY, Duration.ofNanos(earlyNanos).toMillis(), now, out);
         }
     }
 
@@ -86,18 +93,20 @@
             refuse(waiter, RefusalCause.OVERFLOW, now, out);
         } else {
             queue.add(waiter);
-            cutToBounds(now, out);
+            enforceBounds(now, out);
         }
     }
 
-    /** Its place is free for others; without effect when it was decided over. */
-    void leave(Waiter waiter, List<Waiter> out) {
+    /** Removes a request whose caller has left; without effect when it is decided already. */
+    void cancel(Waiter waiter, List<Waiter> out) {
         if (queue.remove(waiter)) {
             decide(waiter, EntryDecision.gone(), out);
         }
     }
 
-    /** Refuses those who can wait no longer, lets go those who need no credits, and offers credits to the others. */
+    /**
+     * Refuses requests that can wait no longer, releases those that need no credits, and offers credits to the others.
+     */
     void review(long now, List<Waiter> out) {
         served.advance(now);
         expire(now, out);
@@ -109,7 +118,7 @@
         }
     }
 
-    /** Refuses all that wait and all that come later. */
+    /** Refuses all waiting requests and all later ones. */
     void stop(long now, List<Waiter> out) {
         stopped = true;
         for (Waiter waiter : queue.all()) {
@@ -118,7 +127,7 @@
         }
     }
 
-    /** When to review next; empty while none waits. */
+    /** Returns the delay until the next review; empty while no request waits. */
     Optional<Duration> nextReview(long now) {
         if (queue.isEmpty()) {
             return Optional.empty();
@@ -171,7 +180,7 @@
         }
     }
 
-    private void cutToBounds(long now, List<Waiter> out) {
+    private void enforceBounds(long now, List<Waiter> out) {
         WaitingSettings bounds = ports.settings();
         while (queue.size() > bounds.maxRequests() || queue.bytes() > bounds.maxBytes()) {
             Waiter least = queue.leastImportant();
@@ -192,7 +201,7 @@
     }
 
     private void refuse(Waiter waiter, RefusalCause cause, long now, List<Waiter> out) {
-        refuse(waiter, cause, promiseReturn(waiter, now), now, out);
+        refuse(waiter, cause, scheduleRetry(waiter, now), now, out);
     }
 
     private void refuse(Waiter waiter, RefusalCause cause, long retryAfterMillis, long now, List<Waiter> out) {
@@ -201,13 +210,13 @@
         decide(waiter, EntryDecision.refused(retryAfterMillis), out);
     }
 
-    private long promiseReturn(Waiter waiter, long now) {
+    private long scheduleRetry(Waiter waiter, long now) {
         WaitingRequest request = waiter.requestAt(now);
-        long millis = ReturnTime.millis(
-                expectedReturnNanos(waiter, now), request.remainingNanos() - neededNanos(request), ports.random());
+        long millis = RetryDelay.millis(
+                expectedRetryNanos(waiter, now), request.remainingNanos() - neededNanos(request), ports.random());
         long nanos = Duration.ofMillis(millis).toNanos();
         boolean meetsObjective = nanos < request.objectiveNanos() - neededNanos(request);
-        promises.add(request, now + nanos, meetsObjective, now);
+        expectedRetries.add(request, now + nanos, meetsObjective, now);
         return millis;
     }
 
@@ -224,36 +233,39 @@
         out.add(waiter);
     }
 
-    /** Until credits come to a request that waits here. */
+    /** Returns the expected time until a request that waits here receives credits. */
     private long expectedNanos(Waiter waiter, long now) {
         int rank = waiter.rank();
-        int returning = waiter.lane() == Lane.RETURNED ? 0 : promises.aheadOfNew(rank, now);
-        return expectedNanos(waiter.request(), queue.ahead(rank, waiter.lane()) + returning);
+        int retriesAhead = waiter.lane() == Lane.RETURNED ? 0 : expectedRetries.aheadOfNew(rank, now);
+        return expectedNanos(waiter.request(), queue.ahead(rank, waiter.lane()) + retriesAhead);
     }
 
-    /** Until credits come to a request whose caller comes back, behind all that were told so before. */
-    private long expectedReturnNanos(Waiter waiter, long now) {
+    /**
+     * Returns the expected time until a request that its caller retries receives credits, behind all earlier expected
+     * retries.
+     */
+    private long expectedRetryNanos(Waiter waiter, long now) {
         int rank = waiter.rank();
-        return expectedNanos(waiter.request(), queue.ahead(rank, Lane.LATE) + promises.all(rank, now));
+        return expectedNanos(waiter.request(), queue.ahead(rank, Lane.LATE) + expectedRetries.all(rank, now));
     }
 
     private long expectedNanos(WaitingRequest request, int ahead) {
         return credits.expectedWaitNanos(request.tree(), request.claimant(), ahead);
     }
 
-    private Lane lane(WaitingRequest request, long early) {
+    private Lane lane(WaitingRequest request, long earlyNanos) {
         if (request.objectiveNanos() <= neededNanos(request)) {
             return Lane.LATE;
         }
-        return request.returned() && early == 0 ? Lane.RETURNED : Lane.NEW;
+        return request.returned() && earlyNanos == 0 ? Lane.RETURNED : Lane.NEW;
     }
 
     private long maxWaitNanos(WaitingRequest request, Lane lane) {
         long end = lane == Lane.LATE ? request.remainingNanos() : request.objectiveNanos();
-        return Math.min(end - neededNanos(request), (long) (WAIT_SHARE * request.remainingNanos()));
+        return Math.min(end - neededNanos(request), (long) (MAX_WAIT_SHARE * request.remainingNanos()));
     }
 
     private long neededNanos(WaitingRequest request) {
-        return (long) (TIME_NEEDED * credits.usualNanos(request.tree()));
+        return (long) (NEEDED_TIME_FACTOR * credits.usualNanos(request.tree()));
     }
 }
--- a/src/main/java/io/beryldock/waiting/WaitingSettings.java
+++ b/src/main/java/io/beryldock/waiting/WaitingSettings.java
@@ -1,17 +1,17 @@
 package io.beryldock.waiting;
 
 /**
- * Bounds of what an entry lets wait. Immutable.
+ * Bounds on the requests that wait at an entry node. Immutable.
  *
- * @param maxRequests most requests that wait at once
- * @param maxBytes most bytes held for them
+ * @param maxRequests maximum number of waiting requests
+ * @param maxBytes maximum memory held for them
  */
 public record WaitingSettings(int maxRequests, long maxBytes) {
 
-    /** Two seconds of the callers of an entry that is asked a thousand times a second. */
+    /** Two seconds of arrivals at an entry node that receives a thousand requests per second. */
     private static final int DEFAULT_MAX_REQUESTS = 2_048;
 
-    /** A small part of what the smallest VM leaves to its node. */
+    /** A small share of the memory that the smallest VM leaves to its node. */
     private static final long DEFAULT_MAX_BYTES = 8L << 20;
 
     public WaitingSettings {
--- a/src/main/java/io/beryldock/waiting/WaitingSnapshot.java
+++ b/src/main/java/io/beryldock/waiting/WaitingSnapshot.java
@@ -5,14 +5,14 @@
 import io.beryldock.organisation.OrganisationName;
 
 /**
- * What waits at an entry at one moment, for operators and metrics. Immutable.
+ * State of the requests that wait at an entry node at one point in time, for operators and metrics. Immutable.
  *
- * @param waitingByRank requests that wait, one number a rank
- * @param bytes held for them
- * @param longestWaitNanos wait of the one that has waited longest, 0 when none waits
+ * @param waitingByRank number of waiting requests, one element per rank
+ * @param bytes memory held for them
+ * @param longestWaitNanos longest wait of a waiting request so far, 0 when none waits
  * @param covered requests that started on credits since the node started
  * @param refused refusals since the node started
- * @param served organisations that were given most of late, the largest first
+ * @param served organisations that were recently granted the most slot time, the largest first
  */
 public record WaitingSnapshot(
         ImmutableList<Integer> waitingByRank,
@@ -23,13 +23,13 @@
         ImmutableList<Served> served) {
 
     /**
-     * What an organisation was given of late.
+     * Recent service of an organisation.
      *
-     * @param slotNanos slot time of the trees that it started
+     * @param slotNanos slot time of the call trees that it started
      */
     public record Served(OrganisationName organisation, long slotNanos) {}
 
-    /** All requests that wait. */
+    /** Total number of waiting requests. */
     public int waiting() {
         return waitingByRank.stream().mapToInt(Integer::intValue).sum();
     }
--- a/src/main/java/io/beryldock/waiting/package-info.java
+++ b/src/main/java/io/beryldock/waiting/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests of callers that wait at their entry, before any work is spent on them, until there is room for all that they
- * need.
+ * Queueing of callers' requests at their entry node, before any work is done for them, until capacity for their whole
+ * call tree is available.
  */
 package io.beryldock.waiting;
--- a/src/test/java/io/beryldock/waiting/ConcurrentRun.java
+++ b/src/test/java/io/beryldock/waiting/ConcurrentRun.java
@@ -15,7 +15,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Threads that ask one entry, leave it and bring credits, which are told of while the lock is held too. */
+/**
+ * Calls one entry from several threads, which send requests, cancel them and provide credits. Credits are also
+ * announced while the lock of the entry is held.
+ */
 final class ConcurrentRun extends NoCredits {
 
     private static final int REQUESTS = 5_000;
@@ -26,7 +29,7 @@
     private final AtomicInteger decided = new AtomicInteger();
     private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
     private final EntryWaiting entry = EntryWaiting.create(
-            WaitingPorts.of(WaitingSettings.defaults(), this, new Random(1), EventSink.none()), new StillTimers());
+            WaitingPorts.of(WaitingSettings.defaults(), this, new Random(1), EventSink.none()), new FrozenTimers());
 
     void askAndLeave() {
         for (int i = 0; i < REQUESTS; i++) {
@@ -90,8 +93,8 @@
         listeners.add(listener);
     }
 
-    /** Time that stands still. */
-    private static final class StillTimers implements TimerService {
+    /** Timers whose time never advances. */
+    private static final class FrozenTimers implements TimerService {
         @Override
         public Subscription after(Duration delay, Runnable task) {
             return () -> {};
--- a/src/test/java/io/beryldock/waiting/EntryFixture.java
+++ b/src/test/java/io/beryldock/waiting/EntryFixture.java
@@ -13,10 +13,10 @@
 import java.util.Random;
 import java.util.function.BooleanSupplier;
 
-/** An entry on injected time with credits from a pool, and callers that ask, wait and come back. */
+/** An entry on simulated time with credits from one pool, and callers that send requests, wait and retry. */
 final class EntryFixture {
 
-    /** Requests of a kind: rank, usual time, objective and time limit, in milliseconds. */
+    /** A kind of request: rank, usual time, objective and time limit, in milliseconds. */
     record Kind(TreeKey tree, int rank, long usual, long objective, long limit) {
 
         static Kind of(String route, int rank, long usual, long objective, long limit) {
@@ -32,7 +32,7 @@
     final FakeCredits credits = new FakeCredits();
     final EntryWaiting entry;
     private final Random random;
-    private int asked;
+    private int callerCount;
 
     private EntryFixture(long seed, WaitingSettings settings, WaitingOrder order) {
         random = new Random(seed);
@@ -55,7 +55,7 @@
         return new EntryFixture(seed, WaitingSettings.defaults(), order);
     }
 
-    void pass(long millis) {
+    void advance(long millis) {
         timers.advance(Duration.ofMillis(millis));
     }
 
@@ -63,22 +63,25 @@
         return Duration.ofNanos(timers.ticker().nanos()).toMillis();
     }
 
-    Asked ask(Kind kind) {
-        return new Asked(kind, Optional.empty());
+    TestCaller ask(Kind kind) {
+        return new TestCaller(kind, Optional.empty());
     }
 
-    Asked ask(Kind kind, String organisation) {
-        return new Asked(kind, Optional.of(OrganisationName.of(organisation)));
+    TestCaller ask(Kind kind, String organisation) {
+        return new TestCaller(kind, Optional.of(OrganisationName.of(organisation)));
     }
 
-    /** Callers of a kind that come at a rate until the condition ends, spread at random; all are added to the list. */
-    void load(Kind kind, double perSecond, BooleanSupplier goesOn, Behaviour behaviour, List<Asked> all) {
+    /**
+     * Starts callers of a kind at random times with this mean rate until the condition becomes false; each is added to
+     * the list.
+     */
+    void load(Kind kind, double perSecond, BooleanSupplier active, Behaviour behaviour, List<TestCaller> all) {
         Runnable next = new Runnable() {
             @Override
             public void run() {
-                if (goesOn.getAsBoolean()) {
-                    Asked asked = behaviour.ask(kind);
-                    all.add(asked);
+                if (active.getAsBoolean()) {
+                    TestCaller caller = behaviour.ask(kind);
+                    all.add(caller);
                     timers.after(Duration.ofNanos((long) (random.nextExponential() * 1e9 / perSecond)), this);
                 }
             }
@@ -86,60 +89,66 @@
         next.run();
     }
 
-    /** How a caller asks. */
+    /** Behaviour of a caller. */
     @FunctionalInterface
     interface Behaviour {
-        Asked ask(Kind kind);
+        TestCaller ask(Kind kind);
     }
 
-    /** Asks once and comes back once at the time that it is told, with what is left of its time. */
-    Asked askAndReturn(Kind kind) {
-        return returning(ask(kind));
+    /**
+     * Sends a request and, if it is refused, retries once at the time that the caller was retryAfter, with the rest of its
+     * time.
+     */
+    TestCaller askAndRetry(Kind kind) {
+        return retryingOnce(ask(kind));
     }
 
-    Asked askAndReturn(Kind kind, String organisation) {
-        return returning(ask(kind, organisation));
+    TestCaller askAndRetry(Kind kind, String organisation) {
+        return retryingOnce(ask(kind, organisation));
     }
 
-    private Asked returning(Asked asked) {
-        asked.onRefusal(told -> timers.after(Duration.ofMillis(told), () -> {
-            asked.refused = later -> {};
-            asked.askAgain();
+    private TestCaller retryingOnce(TestCaller caller) {
+        caller.onRefusal(retryAfter -> timers.after(Duration.ofMillis(retryAfter), () -> {
+            caller.refusalListener = later -> {};
+            caller.retry();
         }));
-        return asked;
+        return caller;
     }
 
-    /** Asks again 20 ms after each refusal, whatever it is told, until its time is over. */
-    Asked askAtOnceAndOften(Kind kind) {
-        Asked asked = ask(kind);
-        asked.onRefusal(told -> askSoon(asked));
-        return asked;
+    /**
+     * Retries 20 ms after each refusal, regardless of the time that the caller was retryAfter, until the time of the request
+     * is over.
+     */
+    TestCaller askAndRetryRepeatedly(Kind kind) {
+        TestCaller caller = ask(kind);
+        caller.onRefusal(retryAfter -> retrySoon(caller));
+        return caller;
     }
 
-    private void askSoon(Asked asked) {
+    private void retrySoon(TestCaller caller) {
         timers.after(Duration.ofMillis(20), () -> {
-            if (asked.age() < asked.kind.limit() - asked.kind.usual()) {
-                asked.askAgain();
+            if (caller.age() < caller.kind.limit() - caller.kind.usual()) {
+                caller.retry();
             }
         });
     }
 
-    static List<Asked> served(List<Asked> all) {
-        return all.stream().filter(Asked::covered).toList();
+    static List<TestCaller> served(List<TestCaller> all) {
+        return all.stream().filter(TestCaller::covered).toList();
     }
 
-    static double servedShare(List<Asked> all) {
+    static double servedShare(List<TestCaller> all) {
         return (double) served(all).size() / all.size();
     }
 
-    /** What is heard of a refusal. */
+    /** Receives a refusal. */
     @FunctionalInterface
-    interface Refused {
-        void toldMillis(long retryAfterMillis);
+    interface RefusalListener {
+        void refused(long retryAfterMillis);
     }
 
-    /** One caller with all its attempts. */
-    final class Asked {
+    /** A caller with all its attempts. */
+    final class TestCaller {
         final Kind kind;
         final Optional<OrganisationName> organisation;
         final long arrivedAt = nowMillis();
@@ -149,16 +158,16 @@
         int attempts;
         int decisions;
         int order;
-        private Refused refused = told -> {};
+        private RefusalListener refusalListener = retryAfter -> {};
 
-        private Asked(Kind kind, Optional<OrganisationName> organisation) {
+        private TestCaller(Kind kind, Optional<OrganisationName> organisation) {
             this.kind = kind;
             this.organisation = organisation;
-            this.order = asked++;
+            this.order = callerCount++;
             send(false);
         }
 
-        void askAgain() {
+        void retry() {
             decision = null;
             send(true);
         }
@@ -176,20 +185,20 @@
             pending.decision().thenAccept(this::decided);
         }
 
-        private void decided(EntryDecision made) {
-            decision = made;
+        private void decided(EntryDecision newDecision) {
+            decision = newDecision;
             decisions++;
             decidedAt = nowMillis();
             if (refused()) {
-                refused.toldMillis(made.retryAfterMillis());
+                refusalListener.refused(newDecision.retryAfterMillis());
             }
         }
 
-        /** Also told of a refusal that came already. */
-        void onRefusal(Refused listener) {
-            refused = listener;
+        /** Sets the listener, which is also notified of a refusal that has arrived already. */
+        void onRefusal(RefusalListener listener) {
+            refusalListener = listener;
             if (refused()) {
-                refused.toldMillis(decision.retryAfterMillis());
+                refusalListener.refused(decision.retryAfterMillis());
             }
         }
 
@@ -197,7 +206,7 @@
             return nowMillis() - arrivedAt;
         }
 
-        boolean waits() {
+        boolean isWaiting() {
             return decision == null;
         }
 
@@ -213,7 +222,7 @@
             return refused() && decidedAt == arrivedAt;
         }
 
-        /** Whether a tree that takes this much of its usual time ends within the objective. */
+        /** Whether a call tree that takes this multiple of its usual time ends within the objective. */
         boolean meetsObjective(double timeFactor) {
             return covered() && decidedAt - arrivedAt + timeFactor * kind.usual() <= kind.objective();
         }
--- a/src/test/java/io/beryldock/waiting/EntryWaitingLoadTest.java
+++ b/src/test/java/io/beryldock/waiting/EntryWaitingLoadTest.java
@@ -6,111 +6,127 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import io.beryldock.waiting.EntryFixture.Asked;
 import io.beryldock.waiting.EntryFixture.Behaviour;
+import io.beryldock.waiting.EntryFixture.TestCaller;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Loads that an entry has to bear while trees need credits. */
+/** Tests the loads that an entry node has to handle while call trees need credits. */
 class EntryWaitingLoadTest {
 
-    /** Browsing trees that 25 slots serve in a second. */
-    private static final double ROOM = 100;
+    /** Browsing trees per second that 25 slots can process. */
+    private static final double TREES_PER_SECOND = 100;
 
-    private static final double SLOTS = ROOM * BROWSE.usual() / 1_000.0;
+    private static final double SLOTS = TREES_PER_SECOND * BROWSE.usual() / 1_000.0;
 
     /**
-     * Guards against a burst that turns every answer late: who is let in is answered in time, the others know at once.
+     * Guards against a burst that makes every answer late: admitted requests must be answered in time, and the others
+     * refused at once.
      */
     @Test
-    void burstOf26TimesFor6Seconds() {
+    void burstOf2Point6TimesTheCapacityFor6Seconds() {
         EntryFixture fixture = EntryFixture.create();
         fixture.credits.fill(fixture.timers, SLOTS);
-        List<Asked> usual = new ArrayList<>();
-        List<Asked> burst = new ArrayList<>();
-        fixture.load(BROWSE, 0.8 * ROOM, () -> fixture.nowMillis() < 20_000, fixture::ask, usual);
-        fixture.pass(5_000);
+        List<TestCaller> usual = new ArrayList<>();
+        List<TestCaller> burst = new ArrayList<>();
+        fixture.load(BROWSE, 0.8 * TREES_PER_SECOND, () -> fixture.nowMillis() < 20_000, fixture::ask, usual);
+        fixture.advance(5_000);
         assertThat(fixture.entry.snapshot().refused()).isEmpty();
-        fixture.load(BROWSE, 1.8 * ROOM, () -> fixture.nowMillis() < 11_000, fixture::ask, burst);
-        fixture.pass(6_000);
+        fixture.load(BROWSE, 1.8 * TREES_PER_SECOND, () -> fixture.nowMillis() < 11_000, fixture::ask, burst);
+        fixture.advance(6_000);
         assertThat(fixture.entry.snapshot().waiting()).isPositive();
-        fixture.pass(20_000);
+        fixture.advance(20_000);
 
-        List<Asked> all = new ArrayList<>(usual);
+        List<TestCaller> all = new ArrayList<>(usual);
         all.addAll(burst);
-        assertThat(EntryFixture.served(all)).allMatch(asked -> asked.meetsObjective(1.4));
-        List<Asked> refused = all.stream().filter(Asked::refused).toList();
-        assertThat(refused.stream().filter(Asked::refusedAtOnce).count()).isGreaterThan(refused.size() * 9L / 10);
+        assertThat(EntryFixture.served(all)).allMatch(caller -> caller.meetsObjective(1.4));
+        List<TestCaller> refused = all.stream().filter(TestCaller::refused).toList();
+        assertThat(refused.stream().filter(TestCaller::refusedAtOnce).count()).isGreaterThan(refused.size() * 9L / 10);
         long servedInBurst = all.stream()
-                .filter(asked -> asked.covered() && asked.decidedAt >= 5_000 && asked.decidedAt < 11_000)
+                .filter(caller -> caller.covered() && caller.decidedAt >= 5_000 && caller.decidedAt < 11_000)
                 .count();
-        assertThat((double) servedInBurst).isCloseTo(6 * ROOM, within(0.05 * 6 * ROOM));
-        assertThat(all).noneMatch(asked -> asked.refused() && asked.arrivedAt > 13_000);
+        assertThat((double) servedInBurst).isCloseTo(6 * TREES_PER_SECOND, within(0.05 * 6 * TREES_PER_SECOND));
+        assertThat(all).noneMatch(caller -> caller.refused() && caller.arrivedAt > 13_000);
     }
 
-    /** Guards against callers that ask at once and often and so take the places of those that wait as they are told. */
+    /**
+     * Guards against callers that retry immediately and often, and so take the places of callers that wait as they were
+     * told.
+     */
     @Test
-    void aThirdOfTheClientsThatRepeatAtOnceTakeNothingFromTheOthers() {
-        double fair = servedOfTwoThirds(false);
-        double beside = servedOfTwoThirds(true);
-        assertThat(beside).isGreaterThan(fair - 0.02);
+    void callersThatRetryImmediatelyTakeNoCapacityFromOthers() {
+        double fair = servedShareOfOthers(false);
+        double withImmediateRetries = servedShareOfOthers(true);
+        assertThat(withImmediateRetries).isGreaterThan(fair - 0.02);
     }
 
-    private static double servedOfTwoThirds(boolean abused) {
+    private static double servedShareOfOthers(boolean retryImmediately) {
         EntryFixture fixture = EntryFixture.create();
         fixture.credits.fill(fixture.timers, SLOTS);
-        List<Asked> others = new ArrayList<>();
-        List<Asked> third = new ArrayList<>();
-        Behaviour ofThird = abused ? fixture::askAtOnceAndOften : fixture::askAndReturn;
-        fixture.load(BROWSE, 1.2 * ROOM, () -> fixture.nowMillis() < 20_000, fixture::askAndReturn, others);
-        fixture.load(BROWSE, 0.6 * ROOM, () -> fixture.nowMillis() < 20_000, ofThird, third);
-        fixture.pass(30_000);
+        List<TestCaller> others = new ArrayList<>();
+        List<TestCaller> third = new ArrayList<>();
+        Behaviour behaviourOfThird = retryImmediately ? fixture::askAndRetryRepeatedly : fixture::askAndRetry;
+        fixture.load(BROWSE, 1.2 * TREES_PER_SECOND, () -> fixture.nowMillis() < 20_000, fixture::askAndRetry, others);
+        fixture.load(BROWSE, 0.6 * TREES_PER_SECOND, () -> fixture.nowMillis() < 20_000, behaviourOfThird, third);
+        fixture.advance(30_000);
         return servedShare(others);
     }
 
-    /** Guards against one organisation that sends seven times its usual and gets what others then wait for in vain. */
+    /**
+     * Guards against one organisation that sends seven times its usual load and receives capacity that other
+     * organisations then lack.
+     */
     @Test
-    void oneOrganisationAtSevenTimesItsUsualLeavesTheOthersTheirs() {
+    void oneOrganisationAtSevenTimesItsUsualLoadTakesNoCapacityFromOthers() {
         EntryFixture fixture = EntryFixture.create();
         fixture.credits.fill(fixture.timers, SLOTS);
-        List<Asked> others = new ArrayList<>();
-        List<Asked> one = new ArrayList<>();
+        List<TestCaller> others = new ArrayList<>();
+        List<TestCaller> one = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             String name = "organisation-" + i;
             fixture.load(
-                    BROWSE, 0.08 * ROOM, () -> fixture.nowMillis() < 20_000, kind -> fixture.ask(kind, name), others);
+                    BROWSE,
+                    0.08 * TREES_PER_SECOND,
+                    () -> fixture.nowMillis() < 20_000,
+                    kind -> fixture.ask(kind, name),
+                    others);
         }
-        fixture.load(BROWSE, 0.56 * ROOM, () -> fixture.nowMillis() < 20_000, kind -> fixture.ask(kind, "hot"), one);
-        fixture.pass(30_000);
+        fixture.load(
+                BROWSE,
+                0.56 * TREES_PER_SECOND,
+                () -> fixture.nowMillis() < 20_000,
+                kind -> fixture.ask(kind, "hot"),
+                one);
+        fixture.advance(30_000);
         assertThat(servedShare(others)).isGreaterThan(0.97);
         assertThat(servedShare(one)).isBetween(0.3, 0.7);
         assertThat(fixture.entry.snapshot().served().size()).isLessThanOrEqualTo(10);
     }
 
-    /** Guards against important callers who wait behind others for the same credits. */
+    /** Guards against important requests that wait behind others for the same credits. */
     @Test
-    void importantOnesDoNotWaitWhileTwiceTheRoomIsAskedByOthers() {
+    void importantRequestsDoNotWaitWhileOthersDemandTwiceTheCapacity() {
         EntryFixture fixture = EntryFixture.create();
         fixture.credits.fill(fixture.timers, SLOTS);
-        List<Asked> lookups = new ArrayList<>();
-        List<Asked> browsing = new ArrayList<>();
-        fixture.load(LOOKUP, 0.5 * ROOM, () -> fixture.nowMillis() < 20_000, fixture::ask, lookups);
-        fixture.load(BROWSE, 1.8 * ROOM, () -> fixture.nowMillis() < 20_000, fixture::ask, browsing);
-        fixture.pass(30_000);
+        List<TestCaller> lookups = new ArrayList<>();
+        List<TestCaller> browsing = new ArrayList<>();
+        fixture.load(LOOKUP, 0.5 * TREES_PER_SECOND, () -> fixture.nowMillis() < 20_000, fixture::ask, lookups);
+        fixture.load(BROWSE, 1.8 * TREES_PER_SECOND, () -> fixture.nowMillis() < 20_000, fixture::ask, browsing);
+        fixture.advance(30_000);
         assertThat(servedShare(lookups)).isGreaterThan(0.99);
-        assertThat(lookups).allMatch(asked -> asked.meetsObjective(1.4));
-        assertThat(EntryFixture.served(browsing)).allMatch(asked -> asked.meetsObjective(1.4));
+        assertThat(lookups).allMatch(caller -> caller.meetsObjective(1.4));
+        assertThat(EntryFixture.served(browsing)).allMatch(caller -> caller.meetsObjective(1.4));
     }
 
-    /** Guards against refused callers who all come back in the same moment and are refused once more. */
+    /** Guards against refused callers that all retry at the same moment and are refused again. */
     @Test
-    void callersOfABurstWhoReturnWhenToldAreServed() {
+    void callersOfABurstThatRetryWhenToldAreServed() {
         EntryFixture fixture = EntryFixture.create();
         fixture.credits.fill(fixture.timers, SLOTS);
-        List<Asked> all = new ArrayList<>();
-        fixture.load(BROWSE, 10 * ROOM, () -> fixture.nowMillis() < 300, fixture::askAndReturn, all);
-        fixture.pass(10_000);
+        List<TestCaller> all = new ArrayList<>();
+        fixture.load(BROWSE, 10 * TREES_PER_SECOND, () -> fixture.nowMillis() < 300, fixture::askAndRetry, all);
+        fixture.advance(10_000);
         assertThat(servedShare(all)).isGreaterThan(0.95);
     }
 }
--- a/src/test/java/io/beryldock/waiting/EntryWaitingTest.java
+++ b/src/test/java/io/beryldock/waiting/EntryWaitingTest.java
@@ -5,7 +5,7 @@
 import static io.beryldock.waiting.EntryFixture.ORDER;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.beryldock.waiting.EntryFixture.Asked;
+import io.beryldock.waiting.EntryFixture.TestCaller;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.ExecutorService;
@@ -19,17 +19,17 @@
     private final EntryFixture fixture = EntryFixture.create();
 
     @Test
-    void whereNothingIsShortItIsDecidedAtOnceAndNoTimerRuns() {
+    void requestThatNeedsNoCreditsIsDecidedAtOnceWithoutTimer() {
         fixture.credits.governing = false;
-        Asked asked = fixture.ask(BROWSE);
-        assertThat(asked.decision.kind()).isEqualTo(EntryDecision.Kind.NOT_GOVERNED);
-        assertThat(fixture.ask(BROWSE).pending).isSameAs(asked.pending);
+        TestCaller caller = fixture.ask(BROWSE);
+        assertThat(caller.decision.kind()).isEqualTo(EntryDecision.Kind.NOT_GOVERNED);
+        assertThat(fixture.ask(BROWSE).pending).isSameAs(caller.pending);
         assertThat(fixture.timers.nextDue()).isEqualTo(Long.MAX_VALUE);
         assertThat(fixture.credits.demands).isZero();
     }
 
     @Test
-    void requestStartsAtOnceWhenItsCreditsAreThere() {
+    void requestStartsAtOnceWhenCreditsAreAvailable() {
         fixture.credits.grantTrees(BROWSE.tree(), 1);
         assertThat(fixture.ask(BROWSE).covered()).isTrue();
         assertThat(fixture.credits.demands).isEqualTo(1);
@@ -37,80 +37,80 @@
     }
 
     @Test
-    void creditsGoByRankThenToTheEarlier() {
+    void creditsAreGrantedByRankThenByArrival() {
         fixture.credits.slots(1);
-        Asked early = fixture.ask(BROWSE);
-        Asked late = fixture.ask(BROWSE);
-        Asked important = fixture.ask(LOOKUP);
+        TestCaller early = fixture.ask(BROWSE);
+        TestCaller late = fixture.ask(BROWSE);
+        TestCaller important = fixture.ask(LOOKUP);
         fixture.credits.grantTrees(LOOKUP.tree(), 1);
         assertThat(important.covered()).isTrue();
         fixture.credits.grantTrees(BROWSE.tree(), 1);
         assertThat(early.covered()).isTrue();
-        assertThat(late.waits()).isTrue();
+        assertThat(late.isWaiting()).isTrue();
     }
 
     @Test
-    void organisationThatWasGivenLeastGoesFirst() {
+    void organisationWithLeastRecentServiceIsServedFirst() {
         fixture.credits.slots(1);
         fixture.credits.grantTrees(BROWSE.tree(), 1);
         assertThat(fixture.ask(BROWSE, "large").covered()).isTrue();
-        Asked first = fixture.ask(BROWSE, "large");
-        Asked second = fixture.ask(BROWSE, "small");
+        TestCaller first = fixture.ask(BROWSE, "large");
+        TestCaller second = fixture.ask(BROWSE, "small");
         fixture.credits.grantTrees(BROWSE.tree(), 1);
         assertThat(second.covered()).isTrue();
-        assertThat(first.waits()).isTrue();
+        assertThat(first.isWaiting()).isTrue();
     }
 
-    /** Guards against a lottery at each return, which keeps some out while others never wait. */
+    /** Guards against a random outcome of each retry, which would keep some callers out while others never wait. */
     @Test
-    void whoComesBackWhenToldGoesBeforeNewOnesOfItsRank() {
+    void retryAtTheToldTimePrecedesNewRequestsOfItsRank() {
         fixture.credits.slots(0.09);
-        Asked refused = fixture.ask(ORDER);
+        TestCaller refused = fixture.ask(ORDER);
         assertThat(refused.refusedAtOnce()).isTrue();
-        fixture.pass(refused.decision.retryAfterMillis());
+        fixture.advance(refused.decision.retryAfterMillis());
         fixture.credits.slots(10);
-        Asked fresh = fixture.ask(ORDER);
-        refused.askAgain();
+        TestCaller fresh = fixture.ask(ORDER);
+        refused.retry();
         fixture.credits.grantTrees(ORDER.tree(), 1);
         assertThat(refused.covered()).isTrue();
-        assertThat(fresh.waits()).isTrue();
+        assertThat(fresh.isWaiting()).isTrue();
     }
 
-    /** Guards against room that nobody takes while callers come back after their objective. */
+    /** Guards against capacity that stays unused while callers retry after their objective has passed. */
     @Test
-    void whoComesBackAfterItsObjectiveTakesWhatNewOnesLeave() {
+    void retryAfterItsObjectiveIsServedAfterNewRequests() {
         fixture.credits.slots(0.1);
-        Asked refused = fixture.ask(BROWSE);
-        fixture.pass(refused.decision.retryAfterMillis());
+        TestCaller refused = fixture.ask(BROWSE);
+        fixture.advance(refused.decision.retryAfterMillis());
         fixture.credits.slots(1);
-        refused.askAgain();
-        Asked fresh = fixture.ask(BROWSE);
+        refused.retry();
+        TestCaller fresh = fixture.ask(BROWSE);
         fixture.credits.grantTrees(BROWSE.tree(), 1);
         assertThat(fresh.covered()).isTrue();
-        assertThat(refused.waits()).isTrue();
+        assertThat(refused.isWaiting()).isTrue();
         fixture.credits.grantTrees(BROWSE.tree(), 1);
         assertThat(refused.covered()).isTrue();
     }
 
     @Test
-    void whoComesBackTooEarlyIsToldTheRestOfItsTime() {
-        Asked refused = fixture.ask(BROWSE);
+    void retryThatIsTooEarlyIsToldTheRestOfItsDelay() {
+        TestCaller refused = fixture.ask(BROWSE);
         long told = refused.decision.retryAfterMillis();
         fixture.credits.slots(10);
         fixture.ask(BROWSE);
-        fixture.pass(100);
-        refused.askAgain();
+        fixture.advance(100);
+        refused.retry();
         assertThat(refused.refused()).isTrue();
         assertThat(refused.decision.retryAfterMillis()).isBetween(told - 101, told - 99);
         assertThat(fixture.entry.snapshot().refused()).containsEntry(RefusalCause.TOO_EARLY, 1L);
     }
 
     @Test
-    void whoCanNotBeAnsweredInTimeIsRefusedAtOnceAndToldWhenRoomIsExpected() {
+    void requestThatCannotBeAnsweredInTimeIsRefusedAtOnceWithTheExpectedDelay() {
         fixture.credits.slots(0.5);
-        List<Asked> waiting = new ArrayList<>();
-        Asked last = fixture.ask(BROWSE);
-        while (last.waits()) {
+        List<TestCaller> waiting = new ArrayList<>();
+        TestCaller last = fixture.ask(BROWSE);
+        while (last.isWaiting()) {
             waiting.add(last);
             last = fixture.ask(BROWSE);
         }
@@ -120,23 +120,23 @@
     }
 
     @Test
-    void whoWaitedInVainIsRefusedWhileAnotherEntryCouldStillAnswer() {
+    void requestThatWaitedInVainIsRefusedWhileAnotherEntryCanStillAnswer() {
         fixture.credits.slots(1);
-        Asked asked = fixture.ask(LOOKUP);
-        fixture.pass(249);
-        assertThat(asked.waits()).isTrue();
-        fixture.pass(1);
-        assertThat(asked.refused()).isTrue();
-        assertThat(asked.decision.retryAfterMillis()).isPositive();
+        TestCaller caller = fixture.ask(LOOKUP);
+        fixture.advance(249);
+        assertThat(caller.isWaiting()).isTrue();
+        fixture.advance(1);
+        assertThat(caller.refused()).isTrue();
+        assertThat(caller.decision.retryAfterMillis()).isPositive();
         assertThat(fixture.entry.snapshot().refused()).containsEntry(RefusalCause.WAITED_IN_VAIN, 1L);
         assertThat(fixture.timers.nextDue()).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
-    void clientThatLeavesFreesItsPlace() {
+    void cancelledRequestFreesItsPlace() {
         fixture.credits.slots(1);
-        Asked first = fixture.ask(BROWSE);
-        Asked second = fixture.ask(BROWSE);
+        TestCaller first = fixture.ask(BROWSE);
+        TestCaller second = fixture.ask(BROWSE);
         first.pending.leave();
         assertThat(first.decision.kind()).isEqualTo(EntryDecision.Kind.GONE);
         assertThat(fixture.entry.snapshot().waiting()).isEqualTo(1);
@@ -147,77 +147,82 @@
     }
 
     @Test
-    void plannedStopAnswersAllThatWaitAndAllThatComeLater() {
+    void stopRefusesWaitingAndLaterRequests() {
         fixture.credits.slots(10);
-        List<Asked> waiting = List.of(fixture.ask(BROWSE), fixture.ask(LOOKUP), fixture.ask(BROWSE));
+        List<TestCaller> waiting = List.of(fixture.ask(BROWSE), fixture.ask(LOOKUP), fixture.ask(BROWSE));
         fixture.entry.stop();
-        assertThat(waiting).allMatch(Asked::refused);
+        assertThat(waiting).allMatch(TestCaller::refused);
         assertThat(fixture.ask(BROWSE).refused()).isTrue();
         assertThat(fixture.timers.nextDue()).isEqualTo(Long.MAX_VALUE);
     }
 
-    /** Guards against requests that wait for credits which nobody gives out any more. */
+    /** Guards against requests that wait for credits that are no longer granted. */
     @Test
-    void treeThatNeedsNoCreditsAnyMoreIsLetGo() {
+    void requestWhoseTreeNoLongerNeedsCreditsIsReleased() {
         fixture.credits.slots(10);
-        Asked asked = fixture.ask(BROWSE);
+        TestCaller caller = fixture.ask(BROWSE);
         fixture.credits.governing = false;
-        fixture.pass(50);
-        assertThat(asked.decision.kind()).isEqualTo(EntryDecision.Kind.NOT_GOVERNED);
+        fixture.advance(50);
+        assertThat(caller.decision.kind()).isEqualTo(EntryDecision.Kind.NOT_GOVERNED);
     }
 
     @Test
-    void beyondTheBoundOfRequestsTheLeastImportantAndLatestLeaves() {
+    void leastImportantAndLatestRequestIsRefusedBeyondTheBoundOfRequests() {
         EntryFixture small = EntryFixture.of(new WaitingSettings(2, 10_000));
         small.credits.slots(10);
-        Asked early = small.ask(BROWSE);
-        Asked late = small.ask(BROWSE);
-        Asked important = small.ask(LOOKUP);
+        TestCaller early = small.ask(BROWSE);
+        TestCaller late = small.ask(BROWSE);
+        TestCaller important = small.ask(LOOKUP);
         assertThat(late.refused()).isTrue();
         assertThat(small.ask(BROWSE).refused()).isTrue();
-        assertThat(early.waits()).isTrue();
-        assertThat(important.waits()).isTrue();
+        assertThat(early.isWaiting()).isTrue();
+        assertThat(important.isWaiting()).isTrue();
         assertThat(small.entry.snapshot().refused()).containsEntry(RefusalCause.OVERFLOW, 2L);
     }
 
     @Test
-    void beyondTheBoundOfBytesTheLeastImportantAndLatestLeaves() {
+    void leastImportantAndLatestRequestIsRefusedBeyondTheBoundOfBytes() {
         EntryFixture small = EntryFixture.of(new WaitingSettings(100, 2_500));
         small.credits.slots(10);
-        Asked early = small.ask(BROWSE);
-        Asked late = small.ask(BROWSE);
-        Asked important = small.ask(LOOKUP);
+        TestCaller early = small.ask(BROWSE);
+        TestCaller late = small.ask(BROWSE);
+        TestCaller important = small.ask(LOOKUP);
         assertThat(late.refused()).isTrue();
-        assertThat(early.waits()).isTrue();
-        assertThat(important.waits()).isTrue();
+        assertThat(early.isWaiting()).isTrue();
+        assertThat(important.isWaiting()).isTrue();
         assertThat(small.entry.snapshot().bytes()).isEqualTo(2_000);
     }
 
     @Test
-    void requestLargerThanTheBoundSendsNobodyAway() {
+    void requestLargerThanTheBoundIsRefused() {
         EntryFixture small = EntryFixture.of(new WaitingSettings(100, 999));
         small.credits.slots(10);
         assertThat(small.ask(LOOKUP).refusedAtOnce()).isTrue();
     }
 
-    /** Guards against a stack that overflows when each start ends at once and frees the credits of the next. */
+    /**
+     * Guards against a stack overflow when each started request ends immediately and frees the credits of the next one.
+     */
     @Test
-    void startsThatEndAtOnceFollowOneAnother() {
+    void startsThatEndImmediatelyDoNotNest() {
         EntryFixture large = EntryFixture.of(new WaitingSettings(20_000, Long.MAX_VALUE));
         large.credits.slots(1_000_000);
-        List<Asked> waiting = new ArrayList<>();
+        List<TestCaller> waiting = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
-            Asked asked = large.ask(BROWSE);
-            asked.pending.decision().thenRun(() -> large.credits.giveBack(BROWSE.tree(), null));
-            waiting.add(asked);
+            TestCaller caller = large.ask(BROWSE);
+            caller.pending.decision().thenRun(() -> large.credits.giveBack(BROWSE.tree(), null));
+            waiting.add(caller);
         }
-        assertThat(waiting).allMatch(Asked::waits);
+        assertThat(waiting).allMatch(TestCaller::isWaiting);
         large.credits.slots(0);
         large.credits.grantTrees(BROWSE.tree(), 1);
-        assertThat(waiting).allMatch(Asked::covered);
+        assertThat(waiting).allMatch(TestCaller::covered);
     }
 
-    /** Guards against a request that is lost or decided twice when many threads ask, leave and bring credits. */
+    /**
+     * Guards against requests that are lost or decided twice when many threads send requests, cancel them and provide
+     * credits.
+     */
     @Test
     void eachRequestIsDecidedOnceWithManyThreads() throws Exception {
         ConcurrentRun run = new ConcurrentRun();
--- a/src/test/java/io/beryldock/waiting/FakeCredits.java
+++ b/src/test/java/io/beryldock/waiting/FakeCredits.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** One pool of credits in slot time, which comes in at a rate; what is not taken within two rounds lapses. */
+/**
+ * A pool of credits in slot time that is filled at a constant rate; credits that are not taken within two rounds
+ * expire.
+ */
 final class FakeCredits extends NoCredits {
 
     private static final Duration ROUND = Duration.ofMillis(20);
@@ -22,7 +25,7 @@
     boolean governing = true;
     int demands;
 
-    /** Slots that all trees share, from the next round on. */
+    /** Fills the pool each round, from the next round on, for this number of slots that all trees share. */
     void fill(ManualTimerService timers, double shared) {
         slots = shared;
         timers.every(ROUND, () -> grant(slots * ROUND.toNanos()));
@@ -36,17 +39,17 @@
         usual.put(tree, Duration.ofMillis(millis).toNanos());
     }
 
-    /** Gives the credits of this many trees at once. */
+    /** Grants the credits of this many trees at once. */
     void grantTrees(TreeKey tree, int trees) {
         grant((double) trees * usual.get(tree));
     }
 
     private void grant(double slotNanos) {
         pool = Math.min(pool + slotNanos, Math.max(slotNanos, 2 * slots * ROUND.toNanos()));
-        tellAll();
+        notifyListeners();
     }
 
-    void tellAll() {
+    void notifyListeners() {
         listeners.forEach(Runnable::run);
     }
 
--- a/src/test/java/io/beryldock/waiting/RetryDelayTest.java
+++ b/src/test/java/io/beryldock/waiting/RetryDelayTest.java
@@ -11,38 +11,40 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 
-class ReturnTimeTest {
+class RetryDelayTest {
 
-    /** Guards against callers that are told to come back before there is room, or when no answer can reach them. */
+    /**
+     * Guards against telling callers to retry before capacity is expected, or when no answer can reach them in time.
+     */
     @Property(tries = 1000)
-    void toldTimeIsWhenRoomIsExpectedAndOfUseToTheCaller(
+    void delayEndsWhenCapacityIsExpectedAndAnAnswerIsUseful(
             @ForAll long seed,
             @ForAll @LongRange(max = 20_000) long expected,
             @ForAll @LongRange(min = 2, max = 8_000) long usable) {
-        long told = millis(expected, usable, new Random(seed));
-        assertThat(told).isBetween(Math.min(expected, usable / 2), usable);
+        long delay = millis(expected, usable, new Random(seed));
+        assertThat(delay).isBetween(Math.min(expected, usable / 2), usable);
     }
 
-    /** Guards against a time that speaks of no time left, as of a caller that gives no more. */
+    /** Guards against a delay derived from the remaining time of a caller that has none left. */
     @Property(tries = 1000)
-    void whoHasNoTimeLeftIsToldWhenANewRequestIsWelcome(
+    void callerWithoutTimeLeftIsToldWhenToSendANewRequest(
             @ForAll long seed, @ForAll @LongRange(max = 20_000) long expected) {
         assertThat(millis(expected, -100, new Random(seed))).isBetween(expected, 100 + expected * 5 / 4);
     }
 
-    /** Guards against callers refused together who come back together. */
+    /** Guards against callers that are refused together and retry together. */
     @Example
-    void timesAreSpread() {
+    void delaysAreSpread() {
         Random random = new Random(1);
-        Set<Long> told = new HashSet<>();
+        Set<Long> delays = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            told.add(millis(400, 5_000, random));
+            delays.add(millis(400, 5_000, random));
         }
-        assertThat(told).hasSizeGreaterThan(50);
+        assertThat(delays).hasSizeGreaterThan(50);
     }
 
     private static long millis(long expected, long usable, Random random) {
-        return ReturnTime.millis(
+        return RetryDelay.millis(
                 Duration.ofMillis(expected).toNanos(), Duration.ofMillis(usable).toNanos(), random);
     }
 }
--- a/src/test/java/io/beryldock/waiting/WaitingMeasurement.java
+++ b/src/test/java/io/beryldock/waiting/WaitingMeasurement.java
@@ -5,8 +5,8 @@
 import static io.beryldock.waiting.EntryFixture.ORDER;
 
 import com.google.common.collect.ImmutableMap;
-import io.beryldock.waiting.EntryFixture.Asked;
 import io.beryldock.waiting.EntryFixture.Kind;
+import io.beryldock.waiting.EntryFixture.TestCaller;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -15,15 +15,16 @@
 import java.util.Map;
 
 /**
- * Prints how each order of waiting serves callers of three kinds and ten organisations; run by hand, seed as argument.
+ * Prints how each waiting order serves callers of three kinds and ten organisations; run by hand with the seed as
+ * argument.
  */
 public final class WaitingMeasurement {
 
-    private static final double ROOM = 100;
-    private static final double SLOTS = ROOM * BROWSE.usual() / 1_000.0;
+    private static final double TREES_PER_SECOND = 100;
+    private static final double SLOTS = TREES_PER_SECOND * BROWSE.usual() / 1_000.0;
     private static final int ORGANISATIONS = 10;
 
-    /** Share of the slot time that each kind asks for. */
+    /** Share of the requested slot time by kind. */
     private static final ImmutableMap<Kind, Double> SHARES = ImmutableMap.of(ORDER, 0.3, LOOKUP, 0.2, BROWSE, 0.5);
 
     private static final ImmutableMap<String, WaitingOrder> ORDERS = ImmutableMap.of(
@@ -53,7 +54,7 @@
     }
 
     private static void print(String order, String load, Run run) {
-        run.play();
+        run.run();
         System.out.printf(
                 Locale.ROOT,
                 "%-25s %-14s %.3f  %.3f  %.3f   %.3f  %.3f    %.3f  %.3f               %.3f%n",
@@ -69,38 +70,40 @@
                 run.refusedTwice());
     }
 
-    /** One run of 20 s, with another demand from second 5 to 11 and one organisation that asks for more. */
+    /**
+     * A run of 20 s, with another demand from second 5 to 11 and one organisation that requests more than the others.
+     */
     private static final class Run {
         private final EntryFixture fixture;
         private final double demand;
-        private final double between;
-        private final double first;
-        private final List<Asked> all = new ArrayList<>();
+        private final double middleDemand;
+        private final double firstFactor;
+        private final List<TestCaller> all = new ArrayList<>();
 
-        Run(long seed, WaitingOrder order, double demand, double between, double first) {
+        Run(long seed, WaitingOrder order, double demand, double middleDemand, double firstFactor) {
             this.fixture = EntryFixture.ordered(seed, order);
             this.demand = demand;
-            this.between = between;
-            this.first = first;
+            this.middleDemand = middleDemand;
+            this.firstFactor = firstFactor;
         }
 
-        void play() {
+        void run() {
             fixture.credits.fill(fixture.timers, SLOTS);
-            ask(demand, 20_000);
-            fixture.pass(5_000);
-            ask(between - demand, 11_000);
-            fixture.pass(25_000);
+            load(demand, 20_000);
+            fixture.advance(5_000);
+            load(middleDemand - demand, 11_000);
+            fixture.advance(25_000);
         }
 
-        private void ask(double factor, long untilMillis) {
+        private void load(double factor, long untilMillis) {
             for (int i = 0; i < ORGANISATIONS && factor > 0; i++) {
                 String name = "organisation-" + i;
-                double rate = factor * ROOM / ORGANISATIONS * (i == 0 ? first : 1);
+                double rate = factor * TREES_PER_SECOND / ORGANISATIONS * (i == 0 ? firstFactor : 1);
                 SHARES.forEach((kind, share) -> fixture.load(
                         kind,
                         share * rate * BROWSE.usual() / kind.usual(),
                         () -> fixture.nowMillis() < untilMillis,
-                        asked -> fixture.askAndReturn(asked, name),
+                        requested -> fixture.askAndRetry(requested, name),
                         all));
             }
         }
@@ -109,7 +112,7 @@
             return share(
                     of(kind),
                     all.stream()
-                            .filter(asked -> asked.kind.equals(kind) && asked.meetsObjective(1))
+                            .filter(caller -> caller.kind.equals(kind) && caller.meetsObjective(1))
                             .count());
         }
 
@@ -117,18 +120,21 @@
             return share(
                     of(kind),
                     all.stream()
-                            .filter(asked -> asked.kind.equals(kind) && asked.covered() && !asked.meetsObjective(1))
+                            .filter(caller -> caller.kind.equals(kind) && caller.covered() && !caller.meetsObjective(1))
                             .count());
         }
 
-        /** Served share of the organisation that is served least, but for the one that may ask for more. */
+        /**
+         * Returns the share of requests answered in time of the organisation with the lowest share, except the one that
+         * may request more.
+         */
         double worstOrganisation() {
             Map<String, long[]> served = new HashMap<>();
-            for (Asked asked : all) {
+            for (TestCaller caller : all) {
                 long[] counts =
-                        served.computeIfAbsent(asked.organisation.orElseThrow().value(), name -> new long[2]);
+                        served.computeIfAbsent(caller.organisation.orElseThrow().value(), name -> new long[2]);
                 counts[0]++;
-                counts[1] += asked.meetsObjective(1) ? 1 : 0;
+                counts[1] += caller.meetsObjective(1) ? 1 : 0;
             }
             served.remove("organisation-0");
             return served.values().stream()
@@ -141,12 +147,12 @@
             return share(
                     all.size(),
                     all.stream()
-                            .filter(asked -> asked.attempts > 1 && asked.refused())
+                            .filter(caller -> caller.attempts > 1 && caller.refused())
                             .count());
         }
 
         private long of(Kind kind) {
-            return all.stream().filter(asked -> asked.kind.equals(kind)).count();
+            return all.stream().filter(caller -> caller.kind.equals(kind)).count();
         }
 
         private static double share(long whole, long part) {
