--- a/src/main/java/io/beryldock/admission/GateCore.java
+++ b/src/main/java/io/beryldock/admission/GateCore.java
@@ -138,8 +138,8 @@
      * <p>A target continues to execute abandoned requests, so their slots stay taken until the target answers. But an
      * answer can be lost for good, for example on a connection that stops responding without being closed; each lost
      * answer would occupy one slot permanently, until the gate admits nothing. The hold time is far above any delay of
-     * an answer that can still arrive, so a target that is merely that slow receives at most one request above its
-     * limit per hold time and slot.
+     * an answer that can still arrive, so even if a target is merely that slow, a slot is reused too early at most once
+     * per hold time.
      */
     void reclaim(long now, DecisionNotifications out) {
         long hold = settings.abandonedHold().toNanos();
--- a/src/main/java/io/beryldock/admission/GateSettings.java
+++ b/src/main/java/io/beryldock/admission/GateSettings.java
@@ -129,7 +129,10 @@
         return announcedSlots > 0 ? Math.min(usableSlots(), maxLimit) : maxLimit;
     }
 
-    /** Targets with few slots use all of them: leaving one free would cost more than the remaining slots gain. */
+    /**
+     * Returns the usable slots. Targets with few slots use all of them, since leaving one free would cost more than the
+     * remaining slots gain.
+     */
     private int usableSlots() {
         return announcedSlots < MIN_SLOTS_FOR_HEADROOM ? announcedSlots : (int) (usableShare * announcedSlots);
     }
--- a/src/main/java/io/beryldock/admission/LimitWindow.java
+++ b/src/main/java/io/beryldock/admission/LimitWindow.java
@@ -10,7 +10,7 @@
  * @param peakInFlight the highest number of requests in flight at once
  * @param completed requests that the target ran to completion
  * @param refused requests that the target refused with its not-executed marker
- * @param late completed requests whose caller had cancelled or whose deadline had passed before
+ * @param late completed requests that had been cancelled or had passed their deadline before their answer
  * @param meanNanos mean service time of the completed requests, 0 when there are none
  * @param minNanos shortest mean service time of a recent window, used as the service time of an idle target
  * @param longNanos mean service time over the recent past
--- a/src/main/java/io/beryldock/waiting/RetryDelay.java
+++ b/src/main/java/io/beryldock/waiting/RetryDelay.java
@@ -13,7 +13,10 @@
  */
 final class RetryDelay {
 
-    /** Within less than a credit round, a retry would meet the same conditions as the refusal. */
+    /**
+     * Minimum spread of the delays. Within less than a credit round, a retry would meet the same conditions as the
+     * refusal.
+     */
     private static final long MIN_SPREAD_NANOS = Duration.ofMillis(100).toNanos();
 
     /** Share of the expected delay by which it is spread, as estimates far ahead are less accurate. */
--- a/src/test/java/io/beryldock/waiting/EntryFixture.java
+++ b/src/test/java/io/beryldock/waiting/EntryFixture.java
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Sends a request and, if it is refused, retries once at the time that the caller was retryAfter, with the rest of its
+     * Sends a request and, if it is refused, retries once at the time that the caller was told, with the rest of its
      * time.
      */
     TestCaller askAndRetry(Kind kind) {
@@ -116,7 +116,7 @@
     }
 
     /**
-     * Retries 20 ms after each refusal, regardless of the time that the caller was retryAfter, until the time of the request
+     * Retries 20 ms after each refusal, regardless of the time that the caller was told, until the time of the request
      * is over.
      */
     TestCaller askAndRetryRepeatedly(Kind kind) {
