--- a/src/main/java/io/beryldock/call/Answer.java
+++ b/src/main/java/io/beryldock/call/Answer.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ByteString;
 import java.util.Objects;
 
-/** A target's complete answer. Immutable. */
+/** A complete HTTP answer of a target. Immutable. */
 public record Answer(int status, Headers headers, ByteString body) {
 
     private static final int FIRST_SERVER_ERROR = 500;
@@ -13,7 +13,7 @@
         Objects.requireNonNull(body, "body");
     }
 
-    /** Whether the target tells of its own failure, of whatever kind. */
+    /** Whether the status reports a failure of the target (500 or above). */
     public boolean isServerError() {
         return status >= FIRST_SERVER_ERROR;
     }
--- a/src/main/java/io/beryldock/call/Call.java
+++ b/src/main/java/io/beryldock/call/Call.java
@@ -6,17 +6,18 @@
 import java.util.Optional;
 
 /**
- * One request to a service, complete with its body.
+ * A request to a service, including its complete body.
  *
  * <p>Immutable.
  *
- * @param id this call, new for each attempt
- * @param caller the service whose target made the call, or {@link #OUTSIDE} for a caller beyond the listeners
+ * @param id identifier of this call, new for each attempt
+ * @param caller the service whose target made the call, or {@link #OUTSIDE} for an external caller
  * @param path path and query, as received
- * @param idempotent whether the route says that running it again does no harm
+ * @param idempotent whether the route declares that the request may safely run more than once
  * @param key the ticket or the caller's own key of a non-idempotent request
- * @param identity hash of the caller of a keyed request, equal at every node; empty for any other
- * @param organisation for which a caller makes it; empty for inner calls, and where there are no organisations
+ * @param identity hash of the caller of a keyed request, equal at every node; empty for other requests
+ * @param organisation organisation on whose behalf the call is made; empty for inner calls and if no organisations are
+ *     configured
  */
 public record Call(
         RequestId id,
@@ -32,7 +33,7 @@
         CallContext context,
         Optional<OrganisationName> organisation) {
 
-    /** Stands for callers that are not targets of ours. */
+    /** Caller of requests that do not come from a target of this deployment. */
     public static final ServiceName OUTSIDE = ServiceName.of("outside");
 
     public Call {
@@ -41,7 +42,7 @@
         Objects.requireNonNull(context, "context");
     }
 
-    /** A call without the identity of its caller. */
+    /** Creates a call without caller identity and organisation. */
     public Call(
             RequestId id,
             ServiceName caller,
@@ -68,17 +69,17 @@
                 Optional.empty());
     }
 
-    /** The same request, made for the organisation. */
+    /** Returns a copy of this call for the organisation. */
     public Call forOrganisation(Optional<OrganisationName> name) {
         return new Call(id, caller, service, method, path, headers, body, idempotent, key, identity, context, name);
     }
 
-    /** The same request, made by the caller with that identity. */
+    /** Returns a copy of this call with the caller identity. */
     public Call withIdentity(ByteString hash) {
         return new Call(id, caller, service, method, path, headers, body, idempotent, key, hash, context, organisation);
     }
 
-    /** The same request as another attempt. */
+    /** Returns a copy of this call as another attempt. */
     public Call attempt(RequestId attemptId, CallContext attemptContext) {
         return new Call(
                 attemptId,
@@ -95,7 +96,7 @@
                 organisation);
     }
 
-    /** The same request under another key. */
+    /** Returns a copy of this call with another key and without caller identity. */
     public Call withKey(String other) {
         return new Call(id, caller, service, method, path, headers, body, idempotent, Optional.of(other), context)
                 .forOrganisation(organisation);
--- a/src/main/java/io/beryldock/call/CallCodec.java
+++ b/src/main/java/io/beryldock/call/CallCodec.java
@@ -18,7 +18,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** Turns calls and results into the messages between nodes and back. Stateless. */
+/** Encodes calls and results as messages between nodes, and decodes them. Stateless. */
 public final class CallCodec {
 
     private static final ImmutableList<String> REASONS =
@@ -62,12 +62,12 @@
                         .map(OrganisationName::of));
     }
 
-    /** Encodes the result of the call with that id; the id lets the other end refuse another call's result. */
+    /** Encodes the result of the call with the given id, which lets the receiver reject the result of another call. */
     public static WireResult encode(RequestId call, CallResult result) {
         return builder(result).setCall(encode(call)).build();
     }
 
-    /** Encodes a result that is matched to its call by other means. */
+    /** Encodes a result that the receiver matches to its call by other means. */
     public static WireResult encode(CallResult result) {
         return builder(result).build();
     }
@@ -93,7 +93,9 @@
         return wire;
     }
 
-    /** Reads a result; one that is malformed or belongs to another call is {@link Outcome#UNKNOWN}. */
+    /**
+     * Decodes a result; the outcome is {@link Outcome#UNKNOWN} if the result is malformed or belongs to another call.
+     */
     public static CallResult decode(RequestId expected, ByteString body) {
         try {
             WireResult wire = WireResult.parseFrom(body);
@@ -111,13 +113,13 @@
         for (WireLevel level : wire.getLevelsList()) {
             levels.add(new ServiceLevel(ServiceName.of(level.getService()), level.getLevel()));
         }
-        CallResult told = base(wire)
+        CallResult result = decodeOutcome(wire)
                 .withRetryAfterMillis(wire.getRetryAfterMillis())
                 .withUnspentRetries(wire.getUnspentRetries())
                 .withLevels(levels.build())
                 .withSpentNanos(wire.getSpentNanos())
                 .withCost(decodeCosts(wire.getCostsList()));
-        return wire.hasLoad() ? told.withLoad(decode(wire.getLoad())) : told;
+        return wire.hasLoad() ? result.withLoad(decode(wire.getLoad())) : result;
     }
 
     private static WireServiceCost encode(TreeCost.ServiceCost cost) {
@@ -163,12 +165,12 @@
                 wire.getDraining());
     }
 
-    private static CallResult base(WireResult wire) {
+    private static CallResult decodeOutcome(WireResult wire) {
         Outcome outcome = Outcome.ofNumber(wire.getOutcome());
         if (outcome == Outcome.ANSWERED) {
             return CallResult.answered(new Answer(wire.getStatus(), decode(wire.getHeadersList()), wire.getBody()));
         }
-        // A newer node may send a reason that this one does not know yet.
+        // A node of a newer version may send a reason that this version does not define.
         Reason reason = REASONS.contains(wire.getReason()) ? Reason.valueOf(wire.getReason()) : Reason.INTERNAL;
         return outcome == Outcome.NOT_RUN
                 ? CallResult.notRun(reason, wire.getDetail())
--- a/src/main/java/io/beryldock/call/CallContext.java
+++ b/src/main/java/io/beryldock/call/CallContext.java
@@ -3,20 +3,21 @@
 import java.util.Objects;
 
 /**
- * What a call carries from its root request down the tree.
+ * Context that is propagated from a root request to all calls in its call tree.
  *
- * <p>Immutable. {@code remainingNanos} is a duration, never a wall clock: each hop takes off what it has measured.
- * {@code retryAllowance} is the part of the root's retries handed to this call; parts over the whole tree never sum to
- * more than the root's bound. {@code callerHash} is equal at every node for one caller. {@code retriedAncestor} tells
- * that a request above may run again, so that a non-idempotent call beneath needs a key of its own.
+ * <p>Immutable. {@code remainingNanos} is a duration rather than a point in time, so that clocks need not agree: each
+ * hop subtracts the time it has measured. {@code retryAllowance} is the share of the root's retries that is assigned to
+ * this call; the shares of the whole tree never add up to more than the root's limit. {@code callerHash} is equal at
+ * every node for the same caller. {@code retriedAncestor} means that a request above this call may run again, so that a
+ * non-idempotent call below it needs a key of its own.
  *
  * @param root the user-visible request
- * @param parent the call within whose run this one was made, the root itself for a root call
- * @param depth 0 for the root
- * @param sunkNanos target time already spent in the tree for the root request
- * @param covered whether its entry holds credits for the whole tree, so that it is served before what is not covered
- * @param repeat whether the run that makes the call repeats an earlier one, which made the same call
- * @param suspect whether its sender holds it for one that may have crashed a target
+ * @param parent the call whose run made this call; the root itself for a root call
+ * @param depth distance from the root, which has depth 0
+ * @param sunkNanos target time already spent in the tree of the root request, in nanoseconds
+ * @param covered whether the entry node holds credits for the whole tree; covered calls are served before others
+ * @param repeat whether the run that makes the call repeats an earlier run, which made the same call
+ * @param suspect whether the sender suspects the call of having crashed a target
  */
 public record CallContext(
         RequestId root,
@@ -38,7 +39,7 @@
         Objects.requireNonNull(priority, "priority");
     }
 
-    /** A context whose tree is not covered by credits. */
+    /** Creates a context that is not covered by credits, not a repeat and not suspect. */
     public CallContext(
             RequestId root,
             RequestId parent,
@@ -64,27 +65,27 @@
                 false);
     }
 
-    /** The same context, covered by credits or not. */
+    /** Returns a copy with the covered flag. */
     public CallContext withCovered(boolean mark) {
         return with(remainingNanos, retryAllowance, mark, repeat, suspect);
     }
 
-    /** The same context, of a repeated call or not. */
+    /** Returns a copy with the repeat flag. */
     public CallContext withRepeat(boolean mark) {
         return with(remainingNanos, retryAllowance, covered, mark, suspect);
     }
 
-    /** The same context, of a call that may have crashed a target or not. */
+    /** Returns a copy with the suspect flag. */
     public CallContext withSuspect(boolean mark) {
         return with(remainingNanos, retryAllowance, covered, repeat, mark);
     }
 
-    /** The same context with another part of the root's retries. */
+    /** Returns a copy with the retry allowance. */
     public CallContext withRetryAllowance(int allowance) {
         return with(remainingNanos, allowance, covered, repeat, suspect);
     }
 
-    /** The same context with less time left; never below zero. */
+    /** Returns a copy with the elapsed time subtracted from the remaining time, which does not fall below zero. */
     public CallContext afterNanos(long elapsedNanos) {
         long left = Math.max(0, remainingNanos - elapsedNanos);
         return with(left, retryAllowance, covered, repeat, suspect);
--- a/src/main/java/io/beryldock/call/CallResult.java
+++ b/src/main/java/io/beryldock/call/CallResult.java
@@ -5,17 +5,18 @@
 import java.util.Optional;
 
 /**
- * What became of one call.
+ * Result of a call.
  *
- * <p>Immutable. There is an answer exactly when the outcome is {@link Outcome#ANSWERED}, a reason exactly when not.
+ * <p>Immutable. An answer is present if and only if the outcome is {@link Outcome#ANSWERED}; a reason is present if and
+ * only if it is not.
  *
- * @param retryAfterMillis when to come back, 0 when nothing is known
+ * @param retryAfterMillis time after which the caller may retry, in milliseconds; 0 if not known
  * @param unspentRetries the part of the call's retry allowance that was not used and returns to the parent
- * @param levels admission levels of the answering service and of those beneath it
- * @param spentNanos target time that the call used, with all beneath it
- * @param cost what the call and all beneath it used, service by service
- * @param load of the target whose node tells the end, empty when no node told it
- * @param detail a sentence for the operator, may be empty
+ * @param levels admission levels of the answering service and of the services below it
+ * @param spentNanos target time used by the call and all calls below it, in nanoseconds
+ * @param cost use of each service by the call and all calls below it
+ * @param load load of the target, as reported by the node that returned the result; empty if no node reported it
+ * @param detail explanation for operators, may be empty
  */
 public record CallResult(
         Outcome outcome,
@@ -34,7 +35,7 @@
         Objects.requireNonNull(cost, "cost");
         Objects.requireNonNull(load, "load");
         if (answer.isPresent() != (outcome == Outcome.ANSWERED) || reason.isPresent() == answer.isPresent()) {
-            throw new IllegalArgumentException("an answer goes with ANSWERED, a reason with the other outcomes");
+            throw new IllegalArgumentException("ANSWERED requires an answer only, any other outcome a reason only");
         }
     }
 
@@ -52,16 +53,16 @@
                 Optional.empty());
     }
 
-    /** The request ran nowhere. Only for callers of this method that know so. */
+    /** Creates a NOT_RUN result. To be used only if it is certain that the request ran nowhere and will not run. */
     public static CallResult notRun(Reason reason, String detail) {
-        return refused(Outcome.NOT_RUN, reason, detail);
+        return withoutAnswer(Outcome.NOT_RUN, reason, detail);
     }
 
     public static CallResult unknown(Reason reason, String detail) {
-        return refused(Outcome.UNKNOWN, reason, detail);
+        return withoutAnswer(Outcome.UNKNOWN, reason, detail);
     }
 
-    private static CallResult refused(Outcome outcome, Reason reason, String detail) {
+    private static CallResult withoutAnswer(Outcome outcome, Reason reason, String detail) {
         return new CallResult(
                 outcome,
                 Optional.empty(),
@@ -75,12 +76,12 @@
                 Optional.empty());
     }
 
-    /** Whether a target answered without a failure of its own. */
+    /** Whether a target answered with a status other than a server error. */
     public boolean succeeded() {
         return answer.isPresent() && !answer.get().isServerError();
     }
 
-    /** The same end without an answer, for another reason. */
+    /** Returns a copy of this result without an answer, with another reason. */
     public CallResult withReason(Reason other) {
         return new CallResult(
                 outcome,
--- a/src/main/java/io/beryldock/call/DataCentre.java
+++ b/src/main/java/io/beryldock/call/DataCentre.java
@@ -5,8 +5,8 @@
 /**
  * Name of a data centre, for example {@code gent-a}.
  *
- * <p>Immutable. The text is never empty and holds at most {@value #MAX_LENGTH} characters of letters, digits, dot,
- * dash and underscore.
+ * <p>Immutable. The name has 1 to {@value #MAX_LENGTH} characters, which are letters, digits, dots, dashes or
+ * underscores.
  */
 public record DataCentre(String value) implements Comparable<DataCentre> {
 
@@ -26,7 +26,7 @@
         return value.compareTo(other.value);
     }
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Explicit, because the C1 compiler used by nodes does not inline a record's generated equals (invokedynamic).
     @Override
     public boolean equals(Object other) {
         return other instanceof DataCentre that && value.equals(that.value);
--- a/src/main/java/io/beryldock/call/Headers.java
+++ b/src/main/java/io/beryldock/call/Headers.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 
-/** HTTP header fields in their order; names compare without case, a name may stand several times. Immutable. */
+/** HTTP header fields in order. Names are case-insensitive and may occur several times. Immutable. */
 public final class Headers {
 
     private static final Headers EMPTY = new Headers(ImmutableList.of());
@@ -31,7 +31,7 @@
         return list;
     }
 
-    /** First value of the name. */
+    /** Returns the first value of the named field. */
     public Optional<String> first(String name) {
         for (Header header : list) {
             if (header.name().equalsIgnoreCase(name)) {
@@ -41,7 +41,7 @@
         return Optional.empty();
     }
 
-    /** Every value of the name, in order. */
+    /** Returns all values of the named field, in order. */
     public ImmutableList<String> all(String name) {
         ImmutableList.Builder<String> found = ImmutableList.builderWithExpectedSize(1);
         for (Header header : list) {
@@ -52,7 +52,7 @@
         return found.build();
     }
 
-    /** The same fields with this one in place of any of its name. */
+    /** Returns a copy in which this field replaces all fields of its name. */
     public Headers with(String name, String value) {
         ImmutableList.Builder<Header> copy = ImmutableList.builderWithExpectedSize(list.size() + 1);
         for (Header header : list) {
@@ -63,7 +63,7 @@
         return new Headers(copy.add(new Header(name, value)).build());
     }
 
-    /** The same fields without those whose name fits the predicate. */
+    /** Returns a copy without the fields whose name matches the predicate. */
     public Headers without(Predicate<String> dropped) {
         ImmutableList.Builder<Header> kept = ImmutableList.builderWithExpectedSize(list.size());
         for (Header header : list) {
--- a/src/main/java/io/beryldock/call/Incarnation.java
+++ b/src/main/java/io/beryldock/call/Incarnation.java
@@ -4,7 +4,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One start of a node: a random 128-bit number, so that no two starts are taken for one another.
+ * Identifies one start of a node by a random 128-bit number, so that different starts cannot be confused.
  *
  * <p>Immutable. The text form is 32 hexadecimal digits.
  */
@@ -18,7 +18,7 @@
         return new Incarnation(random.nextLong(), random.nextLong());
     }
 
-    /** Reads the text form; throws {@link IllegalArgumentException} when it is not 32 hexadecimal digits. */
+    /** Parses the text form; throws {@link IllegalArgumentException} if it is not 32 hexadecimal digits. */
     public static Incarnation parse(String text) {
         if (text.length() != 2 * HALF_DIGITS) {
             throw new IllegalArgumentException("an incarnation has 32 hexadecimal digits: '" + text + "'");
@@ -28,7 +28,7 @@
         return new Incarnation(high, low);
     }
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Explicit, because the C1 compiler used by nodes does not inline a record's generated equals (invokedynamic).
     @Override
     public boolean equals(Object other) {
         return other instanceof Incarnation that && high == that.high && low == that.low;
--- a/src/main/java/io/beryldock/call/Names.java
+++ b/src/main/java/io/beryldock/call/Names.java
@@ -1,18 +1,18 @@
 package io.beryldock.call;
 
-/** Checks names that come from settings, announcements or operators. Stateless, thread safe. */
+/** Validates names that come from settings, announcements or operators. Stateless, thread safe. */
 final class Names {
 
     private Names() {}
 
-    static void check(String what, String value, int maxLength) {
+    static void check(String label, String value, int maxLength) {
         if (value.isEmpty() || value.length() > maxLength) {
-            throw new IllegalArgumentException(what + " must have 1 to " + maxLength + " characters: '" + value + "'");
+            throw new IllegalArgumentException(label + " must have 1 to " + maxLength + " characters: '" + value + "'");
         }
         for (int i = 0; i < value.length(); i++) {
             if (!isAllowed(value.charAt(i))) {
                 throw new IllegalArgumentException(
-                        what + " may hold letters, digits, dot, dash and underscore only: '" + value + "'");
+                        label + " may hold letters, digits, dot, dash and underscore only: '" + value + "'");
             }
         }
     }
--- a/src/main/java/io/beryldock/call/NodeId.java
+++ b/src/main/java/io/beryldock/call/NodeId.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * Name of a node, unique in the whole deployment, from its settings; for example {@code gent-a-lists-1}.
+ * Name of a node from its settings, unique within the deployment; for example {@code gent-a-lists-1}.
  *
- * <p>Immutable. The text is never empty and holds at most {@value #MAX_LENGTH} characters of letters, digits, dot,
- * dash and underscore.
+ * <p>Immutable. The name has 1 to {@value #MAX_LENGTH} characters, which are letters, digits, dots, dashes or
+ * underscores.
  */
 public record NodeId(String value) implements Comparable<NodeId> {
 
@@ -26,7 +26,7 @@
         return value.compareTo(other.value);
     }
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Explicit, because the C1 compiler used by nodes does not inline a record's generated equals (invokedynamic).
     @Override
     public boolean equals(Object other) {
         return other instanceof NodeId that && value.equals(that.value);
--- a/src/main/java/io/beryldock/call/NodeRanking.java
+++ b/src/main/java/io/beryldock/call/NodeRanking.java
@@ -7,10 +7,10 @@
 import java.util.Comparator;
 
 /**
- * Orders nodes for a task by rendezvous hashing: nodes that know the same others choose the same ones without a word,
- * and the loss of one moves only its tasks.
+ * Ranks nodes for a task by rendezvous hashing: nodes with the same view choose the same node without communication,
+ * and the loss of a node reassigns only its own tasks.
  *
- * <p>Views differ for moments, so a task may be done by none or by two for that long. Stateless, thread safe.
+ * <p>While views differ, a task may be done by no node or by two nodes. Stateless, thread safe.
  */
 public final class NodeRanking {
 
@@ -18,7 +18,7 @@
 
     private NodeRanking() {}
 
-    /** The nodes in the order in which they are chosen for the task. */
+    /** Returns the nodes in order of preference for the task. */
     public static ImmutableList<NodeId> of(Collection<NodeId> nodes, String task) {
         return ImmutableList.sortedCopyOf(Comparator.comparingLong(node -> weight(node, task)), nodes);
     }
--- a/src/main/java/io/beryldock/call/Outcome.java
+++ b/src/main/java/io/beryldock/call/Outcome.java
@@ -1,12 +1,12 @@
 package io.beryldock.call;
 
-/** What became of a request, as told to its caller in the header {@code Beryldock-Outcome}. */
+/** Outcome of a request, as returned to the caller in the header {@code Beryldock-Outcome}. */
 public enum Outcome {
-    /** The target's complete answer to this very request is in the result. */
+    /** The result contains the target's complete answer to this request. */
     ANSWERED(1),
-    /** The request ran nowhere and will not run; said only by whoever can know. */
+    /** The request ran nowhere and will not run; reported only where this is certain. */
     NOT_RUN(2),
-    /** The request may have run, may be running or may still run; nobody can say. */
+    /** The request may have run, may be running or may still run; its outcome cannot be determined. */
     UNKNOWN(3);
 
     private final int number;
@@ -15,12 +15,12 @@
         this.number = number;
     }
 
-    /** The form between nodes, which never changes. */
+    /** Wire representation; must not change. */
     public int number() {
         return number;
     }
 
-    /** The outcome of that number; {@link #UNKNOWN}, which promises nothing, for any other. */
+    /** Decodes a wire number; an undefined number yields {@link #UNKNOWN}, which makes no guarantee. */
     public static Outcome ofNumber(int number) {
         return switch (number) {
             case 1 -> ANSWERED;
--- a/src/main/java/io/beryldock/call/PriorityClass.java
+++ b/src/main/java/io/beryldock/call/PriorityClass.java
@@ -4,7 +4,7 @@
 import java.util.stream.IntStream;
 
 /**
- * Class of importance that operators give to requests.
+ * Priority that operators assign to requests.
  *
  * <p>Immutable. Rank 0 is shed last (orders, reservations, programme starts), rank {@value #LOWEST_RANK} first (idle
  * browsing). Several classes may share a rank.
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The class of a rank that was given without a name; equal ranks have equal names. */
+    /** Class of a rank that was given without a name; equal ranks have equal names. */
     public static PriorityClass ofRank(int rank) {
         return OF_RANK.get(rank);
     }
--- a/src/main/java/io/beryldock/call/Reason.java
+++ b/src/main/java/io/beryldock/call/Reason.java
@@ -1,9 +1,9 @@
 package io.beryldock.call;
 
 /**
- * Why a request has no answer, with the HTTP status told to the caller, the message and the remedy.
+ * Reason why a request has no answer, with the HTTP status, message and remedy returned to the caller.
  *
- * <p>The user messages of all refusals are gathered here.
+ * <p>The user messages of all refusals are defined here.
  */
 public enum Reason {
     SHED_AT_DOOR(503, "the service or one beneath it is overloaded", "come back after Retry-After"),
@@ -50,7 +50,7 @@
         this.remedy = remedy;
     }
 
-    /** HTTP status told to the caller. */
+    /** HTTP status returned to the caller. */
     public int status() {
         return status;
     }
--- a/src/main/java/io/beryldock/call/RequestId.java
+++ b/src/main/java/io/beryldock/call/RequestId.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * Identifier of one request or attempt: the incarnation of the node that made it and a counter, so never used twice.
+ * Identifier of a request or attempt: the incarnation of the node that created it, and a counter. Never used twice.
  *
  * <p>Immutable. The text form is the incarnation, a dash and the counter in hexadecimal.
  */
@@ -15,7 +15,7 @@
         Objects.requireNonNull(incarnation, "incarnation");
     }
 
-    /** Reads the text form; throws {@link IllegalArgumentException} when it is malformed. */
+    /** Parses the text form; throws {@link IllegalArgumentException} if it is malformed. */
     public static RequestId parse(String text) {
         int dash = text.indexOf('-');
         if (dash < 0) {
@@ -25,7 +25,7 @@
         return new RequestId(incarnation, Long.parseUnsignedLong(text.substring(dash + 1), HEX));
     }
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Explicit, because the C1 compiler used by nodes does not inline a record's generated equals (invokedynamic).
     @Override
     public boolean equals(Object other) {
         return other instanceof RequestId that && counter == that.counter && incarnation.equals(that.incarnation);
--- a/src/main/java/io/beryldock/call/RequestIds.java
+++ b/src/main/java/io/beryldock/call/RequestIds.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Makes the request ids of one node incarnation.
+ * Generates the request ids of one node incarnation.
  *
- * <p>Invariant: no id is made twice. Thread safe.
+ * <p>Invariant: no id is generated twice. Thread safe.
  */
 public final class RequestIds {
 
--- a/src/main/java/io/beryldock/call/ServiceName.java
+++ b/src/main/java/io/beryldock/call/ServiceName.java
@@ -5,8 +5,8 @@
 /**
  * Name of a service that targets announce, for example {@code holdings}.
  *
- * <p>Immutable. The text is never empty and holds at most {@value #MAX_LENGTH} characters of letters, digits, dot,
- * dash and underscore.
+ * <p>Immutable. The name has 1 to {@value #MAX_LENGTH} characters, which are letters, digits, dots, dashes or
+ * underscores.
  */
 public record ServiceName(String value) implements Comparable<ServiceName> {
 
@@ -26,7 +26,7 @@
         return value.compareTo(other.value);
     }
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Explicit, because the C1 compiler used by nodes does not inline a record's generated equals (invokedynamic).
     @Override
     public boolean equals(Object other) {
         return other instanceof ServiceName that && value.equals(that.value);
--- a/src/main/java/io/beryldock/call/TreeCost.java
+++ b/src/main/java/io/beryldock/call/TreeCost.java
@@ -5,24 +5,27 @@
 import java.util.List;
 
 /**
- * What a call and all calls beneath it used, service by service.
+ * Use of each service by a call and all calls below it.
  *
- * <p>Immutable. Each service is named once. A slot is held while the target works and while it waits for its own calls,
- * so busy time is what the gate of the service has to give, not what its processor does. A failed call has used what it
- * has used; only that of a call that succeeded tells what its route needs.
+ * <p>Immutable. Each service occurs once. A slot is held while the target works and while it waits for its own calls,
+ * so busy time measures the use of the service's admission slots, not of its processor. The cost of a failed call is
+ * the cost incurred until it failed; only the cost of a successful call shows what its route needs.
  */
 public record TreeCost(ImmutableList<ServiceCost> services) {
 
-    /** Most services that are told of; what is beneath more of them is rare and would make each answer longer. */
+    /**
+     * Maximum number of services in a cost. Trees that use more services are rare, and listing them all would make
+     * every answer longer.
+     */
     public static final int MAX_SERVICES = 8;
 
     private static final TreeCost NONE = new TreeCost(ImmutableList.of());
 
     /**
-     * The use of one service.
+     * Use of one service.
      *
-     * @param calls calls that its targets began to run
-     * @param busyNanos time for which they held slots
+     * @param calls number of calls that its targets started to run
+     * @param busyNanos time for which the calls held slots, in nanoseconds
      */
     public record ServiceCost(ServiceName service, int calls, long busyNanos) {
 
@@ -35,12 +38,12 @@
         return NONE;
     }
 
-    /** One call of the service. */
+    /** Creates the cost of one call of the service. */
     public static TreeCost ofCall(ServiceName service, long busyNanos) {
         return new TreeCost(ImmutableList.of(new ServiceCost(service, 1, busyNanos)));
     }
 
-    /** The sum of both. */
+    /** Returns the sum of both costs; services beyond {@link #MAX_SERVICES} are omitted. */
     public TreeCost plus(TreeCost other) {
         if (other.services.isEmpty()) {
             return this;
@@ -65,7 +68,7 @@
         }
     }
 
-    /** Calls of the service. */
+    /** Number of calls of the service. */
     public int calls(ServiceName service) {
         return services.stream()
                 .filter(cost -> cost.service().equals(service))
@@ -73,7 +76,7 @@
                 .sum();
     }
 
-    /** Time for which slots of the service were held. */
+    /** Time for which slots of the service were held, in nanoseconds. */
     public long busyNanos(ServiceName service) {
         return services.stream()
                 .filter(cost -> cost.service().equals(service))
--- a/src/main/java/io/beryldock/call/package-info.java
+++ b/src/main/java/io/beryldock/call/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Values of a request on its way: identifiers, priority class, context, the call itself and its typed result.
+ * Values that accompany a request: identifiers, priority class, context, the call itself and its typed result.
  *
- * <p>Every type here is immutable and free of HTTP, Netty and Guice, so that decisions can be tested alone.
+ * <p>Every type in this package is immutable and independent of HTTP, Netty and Guice, so that decisions can be tested
+ * in isolation.
  */
 package io.beryldock.call;
--- a/src/test/java/io/beryldock/call/RequestIdTest.java
+++ b/src/test/java/io/beryldock/call/RequestIdTest.java
@@ -8,7 +8,7 @@
 class RequestIdTest {
 
     @Test
-    void textFormReadsBack() {
+    void textFormRoundTrips() {
         RequestIds ids = RequestIds.of(Incarnation.random(new Random(7)));
         RequestId first = ids.next();
         assertThat(RequestId.parse(first.toString())).isEqualTo(first);
--- a/src/test/java/io/beryldock/call/TreeCostTest.java
+++ b/src/test/java/io/beryldock/call/TreeCostTest.java
@@ -23,9 +23,9 @@
         assertThat(tree.busyNanos(ORDERS)).isEqualTo(5_000);
     }
 
-    /** Guards against answers that grow with the size of a graph. */
+    /** Guards against answers whose size grows with the number of services in the call graph. */
     @Test
-    void namesAtMostSoManyServices() {
+    void listsAtMostMaxServices() {
         TreeCost tree = TreeCost.none();
         for (int i = 0; i < TreeCost.MAX_SERVICES + 3; i++) {
             tree = tree.plus(TreeCost.ofCall(ServiceName.of("s" + i), 1));
@@ -34,20 +34,20 @@
     }
 
     @Test
-    void costAndLoadCrossTheWire() {
+    void costAndLoadRoundTripThroughCodec() {
         TargetLoad load = new TargetLoad(7, 16, 15, 3, 40_000_000, true, false);
-        CallResult told = CallResult.answered(new Answer(200, Headers.empty(), ByteString.EMPTY))
+        CallResult result = CallResult.answered(new Answer(200, Headers.empty(), ByteString.EMPTY))
                 .withLevels(ImmutableList.of())
                 .withCost(TreeCost.ofCall(ORDERS, 9_000))
                 .withLoad(load);
-        WireResult wire = CallCodec.encode(told);
-        assertThat(CallCodec.decode(wire).cost()).isEqualTo(told.cost());
+        WireResult wire = CallCodec.encode(result);
+        assertThat(CallCodec.decode(wire).cost()).isEqualTo(result.cost());
         assertThat(CallCodec.decode(wire).load()).contains(load);
     }
 
-    /** Guards against work that is sent to a target which has room by its slots but admits nothing. */
+    /** Guards against dispatching to a target that has free slots but admits no requests because it is draining. */
     @Test
-    void aLeavingTargetHasNoFreeSlot() {
+    void drainingTargetHasNoFreeSlot() {
         assertThat(new TargetLoad(1, 16, 4, 2, 0, false, false).free()).isEqualTo(10);
         assertThat(new TargetLoad(1, 16, 4, 2, 0, false, true).free()).isZero();
     }
