--- a/src/main/java/io/beryldock/idempotency/AnswerResolver.java
+++ b/src/main/java/io/beryldock/idempotency/AnswerResolver.java
@@ -19,54 +19,57 @@
 import java.util.function.Supplier;
 
 /**
- * Asks the nodes of a service's targets for the answer of a request whose end its home does not know, or whose home is
- * gone.
+ * Searches the nodes of a service's targets for the answer to a request whose outcome is UNKNOWN at its home or whose
+ * home is gone.
  *
- * <p>It only ever finds answers: that nobody knows the request does not mean that it ran nowhere, since a target's node
- * may have been replaced. Thread safe.
+ * <p>The search can only find an answer. A search without a result does not prove that the request ran nowhere, since a
+ * target's node may have been replaced. Thread safe.
  */
-final class HomeGoneResolver {
+final class AnswerResolver {
 
-    /** Nodes asked for one request; a service has about nine. */
-    private static final int MAX_ASKED = 64;
+    /** Maximum number of nodes queried for one request; a service typically has about nine. */
+    private static final int MAX_QUERIED_NODES = 64;
 
     private final NodeDescriptor self;
     private final Supplier<Directory> directory;
     private final TicketPeers peers;
-    private final AnswerMemory memory;
+    private final KeyedRunTable runTable;
 
-    private HomeGoneResolver(
-            NodeDescriptor self, Supplier<Directory> directory, TicketPeers peers, AnswerMemory memory) {
+    private AnswerResolver(
+            NodeDescriptor self, Supplier<Directory> directory, TicketPeers peers, KeyedRunTable runTable) {
         this.self = self;
         this.directory = directory;
         this.peers = peers;
-        this.memory = memory;
+        this.runTable = runTable;
     }
 
-    static HomeGoneResolver create(
-            NodeDescriptor self, Supplier<Directory> directory, TicketPeers peers, AnswerMemory memory) {
-        return new HomeGoneResolver(self, directory, peers, memory);
+    static AnswerResolver create(
+            NodeDescriptor self, Supplier<Directory> directory, TicketPeers peers, KeyedRunTable runTable) {
+        return new AnswerResolver(self, directory, peers, runTable);
     }
 
-    /** The answer that a target's node keeps for this identity and request, empty when none says so in time. */
+    /**
+     * Returns the answer that a target's node holds for this request and caller identity; empty if no node returns one
+     * within the timeout.
+     */
     CompletableFuture<Optional<CallResult>> search(
             TicketId ticket, ServiceName service, TicketScope scope, Duration timeout) {
         List<NodeDescriptor> nodes = directory.get().targetsOf(service).stream()
                 .map(TargetRecord::node)
                 .distinct()
-                .limit(MAX_ASKED)
+                .limit(MAX_QUERIED_NODES)
                 .collect(ImmutableList.toImmutableList());
         CompletableFuture<Optional<CallResult>> found = new CompletableFuture<>();
         if (nodes.isEmpty()) {
             found.complete(Optional.empty());
         }
-        AtomicInteger awaited = new AtomicInteger(nodes.size());
+        AtomicInteger outstanding = new AtomicInteger(nodes.size());
         for (NodeDescriptor node : nodes) {
-            FutureCallbacks.onEnd(ask(node, ticket, scope, timeout), (result, failure) -> {
+            FutureCallbacks.onComplete(query(node, ticket, scope, timeout), (result, failure) -> {
                 if (failure == null && result.isPresent() && result.get().outcome() == Outcome.ANSWERED) {
                     found.complete(result);
                 }
-                if (awaited.decrementAndGet() == 0) {
+                if (outstanding.decrementAndGet() == 0) {
                     found.complete(Optional.empty());
                 }
             });
@@ -74,10 +77,10 @@
         return found;
     }
 
-    private CompletableFuture<Optional<CallResult>> ask(
+    private CompletableFuture<Optional<CallResult>> query(
             NodeDescriptor node, TicketId ticket, TicketScope scope, Duration timeout) {
         if (node.equals(self)) {
-            return memory.find(ticket.toString(), scope);
+            return runTable.find(ticket.toString(), scope);
         }
         WireAnswerQuery query = WireAnswerQuery.newBuilder()
                 .setTicket(ticket.toString())
@@ -86,10 +89,10 @@
                 .build();
         WireTicketRequest request =
                 WireTicketRequest.newBuilder().setAnswerQuery(query).build();
-        return peers.ask(node, request, timeout).thenApply(HomeGoneResolver::read);
+        return peers.ask(node, request, timeout).thenApply(AnswerResolver::decode);
     }
 
-    private static Optional<CallResult> read(WireTicketReply reply) {
+    private static Optional<CallResult> decode(WireTicketReply reply) {
         return reply.getAnswer().hasResult()
                 ? Optional.of(CallCodec.decode(reply.getAnswer().getResult()))
                 : Optional.empty();
--- a/src/main/java/io/beryldock/idempotency/CallerIdentity.java
+++ b/src/main/java/io/beryldock/idempotency/CallerIdentity.java
@@ -6,9 +6,9 @@
 import java.util.Objects;
 
 /**
- * Who made a keyed request: a hash equal at every node of a deployment.
+ * Identity of the caller of a keyed request: a hash that is equal at every node of a deployment.
  *
- * <p>Immutable. An answer is replayed only to the identity that the request was first made with.
+ * <p>Immutable. An answer is replayed only to the identity that first submitted the request.
  */
 public record CallerIdentity(ByteString hash) {
 
@@ -18,7 +18,10 @@
         Objects.requireNonNull(hash, "hash");
     }
 
-    /** Shortens a salted hash of the credential headers, as the listeners make it, to what tickets keep. */
+    /**
+     * Truncates a salted hash of the credential headers, as computed by the listeners, to the length stored with
+     * tickets.
+     */
     public static CallerIdentity of(String credentialHash) {
         byte[] bytes = Hashing.sha256()
                 .hashString(credentialHash, StandardCharsets.UTF_8)
--- a/src/main/java/io/beryldock/idempotency/CallerKey.java
+++ b/src/main/java/io/beryldock/idempotency/CallerKey.java
@@ -4,16 +4,16 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A caller's own key of a request, from its header Idempotency-Key.
+ * A key chosen by the caller for a request, from the header Idempotency-Key.
  *
- * <p>Immutable. Keys are held by the first 128 bits of their SHA-256, so that no caller can make two keys meet.
+ * <p>Immutable. Keys are stored as the first 128 bits of their SHA-256, so that a caller cannot construct a collision.
  */
 public record CallerKey(long high, long low) {
 
-    /** Longest key taken, in characters. */
+    /** Maximum length of a key, in characters. */
     public static final int MAX_LENGTH = 255;
 
-    /** Reads the header's value; throws {@link IllegalArgumentException} when it can't be a key. */
+    /** Parses the header's value; throws {@link IllegalArgumentException} if it is not a valid key. */
     public static CallerKey of(String text) {
         if (text.isEmpty() || text.length() > MAX_LENGTH || !text.chars().allMatch(ch -> ch > ' ' && ch < 0x7f)) {
             throw new IllegalArgumentException("a key has 1 to " + MAX_LENGTH + " visible ASCII characters");
--- a/src/main/java/io/beryldock/idempotency/Deadlines.java
+++ b/src/main/java/io/beryldock/idempotency/Deadlines.java
@@ -6,27 +6,27 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** Ends the wait for a keyed request when its time is over; the request itself goes on. Stateless, thread safe. */
+/** Bounds the wait for the result of a keyed request; the request itself continues. Stateless, thread safe. */
 final class Deadlines {
 
     private Deadlines() {}
 
-    /** The same result, or UNKNOWN when none has come in time. */
-    static CompletableFuture<CallResult> bound(
+    /** Returns the result, or UNKNOWN if it does not arrive within the time left. */
+    static CompletableFuture<CallResult> withTimeout(
             TimerService timers, CompletableFuture<CallResult> result, Duration timeLeft) {
         if (result.isDone()) {
             return result;
         }
-        CompletableFuture<CallResult> told = new CompletableFuture<>();
-        TimerService.Subscription timer = timers.after(timeLeft, () -> told.complete(overdue()));
-        FutureCallbacks.onEnd(result, (value, failure) -> {
+        CompletableFuture<CallResult> bounded = new CompletableFuture<>();
+        TimerService.Subscription timer = timers.after(timeLeft, () -> bounded.complete(timedOut()));
+        FutureCallbacks.onComplete(result, (value, failure) -> {
             timer.cancel();
-            told.complete(failure == null ? value : CallResult.unknown(Reason.INTERNAL, String.valueOf(failure)));
+            bounded.complete(failure == null ? value : CallResult.unknown(Reason.INTERNAL, String.valueOf(failure)));
         });
-        return told;
+        return bounded;
     }
 
-    static CallResult overdue() {
+    static CallResult timedOut() {
         return CallResult.unknown(Reason.TIMED_OUT, "send it again under the same key to learn what became of it");
     }
 }
--- a/src/main/java/io/beryldock/idempotency/FutureCallbacks.java
+++ b/src/main/java/io/beryldock/idempotency/FutureCallbacks.java
@@ -5,26 +5,29 @@
 import java.util.concurrent.Executor;
 import java.util.function.BiConsumer;
 
-/** Callbacks whose own failure is logged, since nobody waits for them. Stateless, thread safe. */
+/**
+ * Attaches callbacks to futures and logs exceptions that the callbacks throw, because no caller would observe them.
+ * Stateless, thread safe.
+ */
 final class FutureCallbacks {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
     private FutureCallbacks() {}
 
-    /** Calls back when the future ends, on the thread that ends it. */
-    static <T> void onEnd(CompletableFuture<T> future, BiConsumer<T, Throwable> callback) {
-        onEnd(future, Runnable::run, callback);
+    /** Runs the callback when the future completes, on the thread that completes it. */
+    static <T> void onComplete(CompletableFuture<T> future, BiConsumer<T, Throwable> callback) {
+        onComplete(future, Runnable::run, callback);
     }
 
-    /** Calls back on the executor when the future ends. */
-    static <T> void onEnd(CompletableFuture<T> future, Executor executor, BiConsumer<T, Throwable> callback) {
+    /** Runs the callback on the executor when the future completes. */
+    static <T> void onComplete(CompletableFuture<T> future, Executor executor, BiConsumer<T, Throwable> callback) {
         CompletableFuture<T> unused = future.whenCompleteAsync(
                 (value, failure) -> {
                     try {
                         callback.accept(value, failure);
                     } catch (RuntimeException e) {
-                        log.atSevere().withCause(e).log("a callback failed");
+                        log.atSevere().withCause(e).log("future callback threw an exception");
                     }
                 },
                 executor);
--- a/src/main/java/io/beryldock/idempotency/HomeLocator.java
+++ b/src/main/java/io/beryldock/idempotency/HomeLocator.java
@@ -8,14 +8,17 @@
 import java.util.function.Supplier;
 
 /**
- * Finds who may decide over a ticket: its home, or when that is gone the nodes that it would have handed its table to.
+ * Finds the nodes that may hold a ticket's table: its home or, if the home is gone, its likely successors.
  *
- * <p>The successor is ranked by rendezvous hashing in the home's data centre, so that a stopped home need not be
- * announced to every node. A wrong guess costs a message: only who holds the whole table decides. Thread safe.
+ * <p>Successors are ranked by rendezvous hashing within the home's data centre, so that a planned stop need not be
+ * announced to every node. A wrong candidate costs one message only, because a node acts on a ticket only if it holds
+ * the whole table. Thread safe.
  */
 final class HomeLocator {
 
-    /** Ranks that are tried: the first may have been stopped in its turn, or be unknown to one of the two views. */
+    /**
+     * Number of ranked nodes tried: the first may have been stopped as well, or be missing from one of the two views.
+     */
     static final int CANDIDATES = 3;
 
     private final Supplier<Directory> directory;
@@ -28,8 +31,11 @@
         return new HomeLocator(directory);
     }
 
-    /** Whom to ask: the home while this very start of it is believed alive, else the likely holders of its table. */
-    ImmutableList<NodeDescriptor> deciders(TicketHome home) {
+    /**
+     * Nodes to query: the home itself while this incarnation of it is believed alive, otherwise the likely holders of
+     * its table.
+     */
+    ImmutableList<NodeDescriptor> candidates(TicketHome home) {
         return home(home).map(ImmutableList::of).orElseGet(() -> successors(home));
     }
 
@@ -41,7 +47,7 @@
         return directory.get().node(id);
     }
 
-    /** The likely holders of the table that this home left behind, the likeliest first. */
+    /** Nodes likely to hold the table that this home handed over, most likely first. */
     ImmutableList<NodeDescriptor> successors(TicketHome home) {
         ImmutableList<NodeDescriptor> neighbours = directory.get().nodes().values().stream()
                 .filter(node -> node.dataCentre().equals(home.dataCentre()))
--- a/src/main/java/io/beryldock/idempotency/IdempotencyPorts.java
+++ b/src/main/java/io/beryldock/idempotency/IdempotencyPorts.java
@@ -10,12 +10,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All that keyed requests need of the rest of a node. Immutable.
+ * Dependencies of this package on the rest of a node. Immutable.
  *
- * @param self this start of this node
- * @param directory the newest picture of all nodes and targets
- * @param control runs the node's control thread
- * @param random seeds nothing but the nonces of tickets; must not be guessable by callers
+ * @param self descriptor of this node's current incarnation
+ * @param directory supplies the latest view of all nodes and targets
+ * @param control executor of the node's control thread
+ * @param random generates ticket nonces only; must not be predictable by callers
  */
 public record IdempotencyPorts(
         NodeDescriptor self,
--- a/src/main/java/io/beryldock/idempotency/Invariants.java
+++ b/src/main/java/io/beryldock/idempotency/Invariants.java
@@ -3,16 +3,22 @@
 import io.beryldock.timeline.EventKind;
 import io.beryldock.timeline.EventSink;
 
-/** Stops a step that would break a promise about a key, and reports it to the time line. Stateless, thread safe. */
+/**
+ * Aborts an operation that would violate an invariant of keyed requests, and records the violation in the timeline.
+ * Stateless, thread safe.
+ */
 final class Invariants {
 
     private Invariants() {}
 
-    /** Throws rather than go on: no order is better than two. */
-    static void check(EventSink events, boolean holds, String subject, String what) {
+    /**
+     * Throws {@link IllegalStateException} if the invariant does not hold: failing a request is better than running it
+     * twice.
+     */
+    static void check(EventSink events, boolean holds, String subject, String message) {
         if (!holds) {
-            events.record(EventKind.INVARIANT_BROKEN, subject, what);
-            throw new IllegalStateException(what + ": " + subject);
+            events.record(EventKind.INVARIANT_BROKEN, subject, message);
+            throw new IllegalStateException(message + ": " + subject);
         }
     }
 }
--- a/src/main/java/io/beryldock/idempotency/Joiner.java
+++ b/src/main/java/io/beryldock/idempotency/Joiner.java
@@ -2,9 +2,9 @@
 
 import io.beryldock.call.CallResult;
 
-/** Waits for what becomes of a ticket. Called on the control thread, at most once. */
+/** Receives the result of a ticket's request. Called on the control thread, at most once. */
 @FunctionalInterface
 public interface Joiner {
 
-    void done(CallResult result);
+    void onResult(CallResult result);
 }
--- a/src/main/java/io/beryldock/idempotency/KeyBinder.java
+++ b/src/main/java/io/beryldock/idempotency/KeyBinder.java
@@ -15,15 +15,15 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Binds callers' keys to tickets in the platform store, once for the whole deployment.
+ * Binds callers' keys to tickets in the platform store; a binding is unique within the deployment.
  *
- * <p>For each shard rendezvous hashing picks a node that gathers the bindings of all others into few writes. That is
- * for speed only: every node may write every shard, and safety is the store's compare-and-set. Called on the control
- * thread only.
+ * <p>For each shard, rendezvous hashing selects a batcher node that combines the bindings of all nodes into few writes.
+ * Batching only reduces load: every node may write every shard, and safety depends on the store's compare-and-set
+ * alone. Called on the control thread only.
  */
 public final class KeyBinder {
 
-    /** Nodes asked to bind before this node does it itself. */
+    /** Number of batcher nodes tried before this node writes the binding itself. */
     private static final int BATCHERS = 2;
 
     private final IdempotencyPorts ports;
@@ -42,47 +42,51 @@
     }
 
     /**
-     * Binds the key to the proposed ticket unless it is bound already; without a proposed ticket closes it.
+     * Binds the key to the proposed ticket unless it is already bound; without a proposed ticket, closes the key.
      *
-     * <p>A key that is bound or closed stays so for the retention of keys, whoever asks. After Unknown the store may
-     * still bind the key to the proposed ticket, so that ticket must not be used for anything else.
+     * <p>A bound or closed key keeps its state for the retention period of keys, at every node. After {@link
+     * BindResult.Unknown} the store may still apply the binding to the proposed ticket, so that ticket must not be used
+     * for another request.
      */
     public CompletableFuture<BindResult> bind(
             CallerKey key, KeyScope scope, Optional<TicketId> proposed, Duration timeLeft) {
-        KeyBinding wanted = new KeyBinding(key, scope, proposed);
+        KeyBinding proposal = new KeyBinding(key, scope, proposed);
         Duration limit = timeLeft.compareTo(settings.timeout()) < 0 ? timeLeft : settings.timeout();
-        return bindVia(batchers(shardOf(key)), wanted, now() + limit.toNanos());
+        return bindVia(batchers(shardOf(key)), proposal, now() + limit.toNanos());
     }
 
     private CompletableFuture<BindResult> bindVia(
-            ImmutableList<NodeDescriptor> untried, KeyBinding wanted, long deadline) {
+            ImmutableList<NodeDescriptor> untried, KeyBinding proposal, long deadline) {
         Duration left = Duration.ofNanos(Math.max(0, deadline - now()));
         if (untried.isEmpty() || untried.get(0).equals(ports.self())) {
-            return bindHere(wanted, left);
+            return bindLocally(proposal, left);
         }
         ImmutableList<NodeDescriptor> rest = untried.subList(1, untried.size());
-        return ask(untried.get(0), wanted, left.dividedBy(untried.size() + 1))
+        return ask(untried.get(0), proposal, left.dividedBy(untried.size() + 1))
                 .thenComposeAsync(
                         result -> result instanceof BindResult.Unknown
-                                ? bindVia(rest, wanted, deadline)
+                                ? bindVia(rest, proposal, deadline)
                                 : CompletableFuture.completedFuture(result),
                         ports.control());
     }
 
-    /** Binds with this node's own writes, for itself or as the batcher of others. */
-    CompletableFuture<BindResult> bindHere(KeyBinding wanted, Duration timeLeft) {
-        int shard = shardOf(wanted.key());
+    /** Binds the key by writing from this node, for its own requests or as batcher for other nodes. */
+    CompletableFuture<BindResult> bindLocally(KeyBinding proposal, Duration timeLeft) {
+        int shard = shardOf(proposal.key());
         shards.entrySet()
-                .removeIf(entry -> entry.getKey() != shard && entry.getValue().idle());
+                .removeIf(entry -> entry.getKey() != shard && entry.getValue().isIdle());
         return shards.computeIfAbsent(shard, number -> KeyShard.create(number, ports, settings))
-                .bind(wanted, timeLeft);
+                .bind(proposal, timeLeft);
     }
 
     private int shardOf(CallerKey key) {
         return Math.floorMod(key.high(), settings.shards());
     }
 
-    /** Ranks anew only when there is a new picture: thousands of nodes are not hashed for each key. */
+    /**
+     * Recomputes the ranking only when the directory's node map has changed, to avoid hashing thousands of nodes for
+     * each key.
+     */
     @SuppressWarnings("ReferenceEquality")
     private ImmutableList<NodeDescriptor> batchers(int shard) {
         ImmutableMap<NodeId, NodeDescriptor> nodes = ports.directory().get().nodes();
@@ -94,34 +98,34 @@
                 shard, number -> Rendezvous.first(nodes.values(), settings.prefix() + number, BATCHERS));
     }
 
-    private CompletableFuture<BindResult> ask(NodeDescriptor batcher, KeyBinding wanted, Duration timeout) {
+    private CompletableFuture<BindResult> ask(NodeDescriptor batcher, KeyBinding proposal, Duration timeout) {
         WireBindRequest request = WireBindRequest.newBuilder()
-                .setKeyHigh(wanted.key().high())
-                .setKeyLow(wanted.key().low())
-                .setScopeHigh(wanted.scope().high())
-                .setScopeLow(wanted.scope().low())
-                .setTicket(wanted.ticket().map(TicketId::toString).orElse(""))
+                .setKeyHigh(proposal.key().high())
+                .setKeyLow(proposal.key().low())
+                .setScopeHigh(proposal.scope().high())
+                .setScopeLow(proposal.scope().low())
+                .setTicket(proposal.ticket().map(TicketId::toString).orElse(""))
                 .setTimeoutNanos(timeout.toNanos())
                 .build();
         return ports.peers()
                 .ask(batcher, WireTicketRequest.newBuilder().setBind(request).build(), timeout)
                 .handle((reply, failure) -> failure == null && reply.hasBind()
-                        ? read(reply.getBind())
+                        ? decode(reply.getBind())
                         : new BindResult.Unknown(Reason.KEY_STORE_DOWN, "the batcher did not answer"));
     }
 
-    /** Binds for another node. */
-    CompletableFuture<WireBindReply> asked(WireBindRequest request) {
+    /** Handles a bind request of another node. */
+    CompletableFuture<WireBindReply> handleBind(WireBindRequest request) {
         CallerKey key = new CallerKey(request.getKeyHigh(), request.getKeyLow());
         KeyScope scope = new KeyScope(request.getScopeHigh(), request.getScopeLow());
         Optional<TicketId> ticket =
                 Optional.of(request.getTicket()).filter(text -> !text.isEmpty()).map(TicketId::parse);
         Duration timeLeft = Duration.ofNanos(
                 Math.min(request.getTimeoutNanos(), settings.timeout().toNanos()));
-        return bindHere(new KeyBinding(key, scope, ticket), timeLeft).thenApply(KeyBinder::write);
+        return bindLocally(new KeyBinding(key, scope, ticket), timeLeft).thenApply(KeyBinder::encode);
     }
 
-    private static WireBindReply write(BindResult result) {
+    private static WireBindReply encode(BindResult result) {
         WireBindReply.Builder reply = WireBindReply.newBuilder();
         if (result instanceof BindResult.Bound bound) {
             return reply.setKind(WireBindReply.Kind.BOUND)
@@ -139,7 +143,7 @@
                 .build();
     }
 
-    private static BindResult read(WireBindReply reply) {
+    private static BindResult decode(WireBindReply reply) {
         return switch (reply.getKind()) {
             case BOUND -> new BindResult.Bound(TicketId.parse(reply.getTicket()));
             case CLOSED -> new BindResult.Closed();
--- a/src/main/java/io/beryldock/idempotency/KeyDocument.java
+++ b/src/main/java/io/beryldock/idempotency/KeyDocument.java
@@ -12,14 +12,14 @@
 import java.util.Optional;
 
 /**
- * The bindings of one shard made in one generation, as one value of the platform store.
+ * Bindings of one shard and generation, stored as one value of the platform store.
  *
- * <p>Immutable. Invariants: bindings stand sorted by key, and no key stands twice. A binding takes 56 bytes and its
- * ticket's home about 70 once a document.
+ * <p>Immutable. Invariants: bindings are sorted by key, and each key occurs once. A binding takes 56 bytes; each
+ * distinct ticket home takes about 70 bytes once per document.
  */
 final class KeyDocument {
 
-    /** A place of the store that nobody has written to. */
+    /** Document of a store key that has never been written. */
     static final KeyDocument ABSENT = new KeyDocument(PlatformStore.ABSENT, WireKeyDocument.getDefaultInstance());
 
     private static final int WORDS = 7;
@@ -36,19 +36,19 @@
         this.wire = wire;
     }
 
-    /** Reads what the store holds in a place; throws when it is malformed. */
+    /** Parses a stored value; throws if it is malformed. */
     static KeyDocument read(Optional<StoredValue> stored) throws InvalidProtocolBufferException {
         if (stored.isEmpty()) {
             return ABSENT;
         }
         WireKeyDocument wire = WireKeyDocument.parseFrom(stored.get().value());
         if (wire.getWordsCount() % WORDS != 0) {
-            throw new InvalidProtocolBufferException("a key document holds half a binding");
+            throw new InvalidProtocolBufferException("key document ends in an incomplete binding");
         }
         return new KeyDocument(stored.get().version(), wire);
     }
 
-    /** An empty document of that generation, to be written over the one with the version. */
+    /** Creates an empty document of the generation, to replace the stored value with the given version. */
     static KeyDocument open(long generation, long version) {
         return new KeyDocument(
                 version, WireKeyDocument.newBuilder().setGeneration(generation).build());
@@ -74,8 +74,8 @@
         return wire.toByteString();
     }
 
-    /** The same document as the store holds it after the write that gave this version. */
-    KeyDocument written(long newVersion) {
+    /** This document with the version that the store assigned when it was written. */
+    KeyDocument withVersion(long newVersion) {
         return new KeyDocument(newVersion, wire);
     }
 
@@ -103,7 +103,7 @@
         return new KeyBinding(key, scope, Optional.of(ticket));
     }
 
-    /** Index of the key's binding, or minus one minus the index where it would stand. */
+    /** Index of the key's binding, or {@code -1 - insertionIndex} if the key is not bound in this document. */
     private int search(CallerKey key) {
         int low = 0;
         int high = size() - 1;
@@ -127,8 +127,8 @@
         return order != 0 ? order : Long.compare(wire.getWords(index * WORDS + 1), key.low());
     }
 
-    /** The document with these bindings added, whose keys it must not hold yet. */
-    KeyDocument with(Collection<KeyBinding> added) {
+    /** Returns a copy with the bindings added. None of their keys may be in this document yet. */
+    KeyDocument withBindings(Collection<KeyBinding> added) {
         WireKeyDocument.Builder builder = wire.toBuilder().clearWords();
         Map<TicketHome, Integer> homes = new HashMap<>();
         for (int i = 0; i < wire.getHomesCount(); i++) {
@@ -143,7 +143,7 @@
             }
             copyWords(builder, from, -1 - index);
             from = -1 - index;
-            append(builder, binding, homeOf(binding, homes, builder));
+            append(builder, binding, homeIndex(binding, homes, builder));
         }
         copyWords(builder, from, size());
         return new KeyDocument(version, builder.build());
@@ -153,7 +153,7 @@
         builder.addAllWords(wire.getWordsList().subList(fromIndex * WORDS, toIndex * WORDS));
     }
 
-    private static int homeOf(KeyBinding binding, Map<TicketHome, Integer> homes, WireKeyDocument.Builder builder) {
+    private static int homeIndex(KeyBinding binding, Map<TicketHome, Integer> homes, WireKeyDocument.Builder builder) {
         if (binding.ticket().isEmpty()) {
             return 0;
         }
--- a/src/main/java/io/beryldock/idempotency/KeyRing.java
+++ b/src/main/java/io/beryldock/idempotency/KeyRing.java
@@ -7,85 +7,92 @@
 import java.util.Optional;
 
 /**
- * One node's copy of a shard's documents, a ring in which each generation takes the place of the oldest.
+ * A node's local copy of a shard's documents: a ring buffer in which each new generation overwrites the oldest.
  *
- * <p>Only the newest generation is written to. It is opened after the one before was sealed, so a write that succeeds
- * on an unsealed document proves that no newer one exists, and that the copies of the older ones, sealed, are still
- * right: a key found in none of them was bound nowhere. That holds whatever the node believed before, also after a
- * pause, and needs neither a lease nor a clock. Used on the control thread only.
+ * <p>Only the newest generation is written. A generation is opened only after its predecessor has been sealed, so a
+ * successful write to an unsealed document proves that no newer generation exists and that the local copies of the
+ * older, sealed generations are current: a key found in none of them is not bound anywhere. This holds even if the
+ * node's previous view was stale, for example after a pause, and requires neither a lease nor a clock. Used on the
+ * control thread only.
  */
 final class KeyRing {
 
-    /** Place of the first generation. */
-    private static final int FIRST_PLACE = 1;
+    /** Slot of the first generation. */
+    private static final int FIRST_SLOT = 1;
 
-    private final KeyDocument[] places;
+    private final KeyDocument[] documents;
     private final boolean[] known;
 
     private KeyRing(int generations) {
-        this.places = new KeyDocument[generations];
+        this.documents = new KeyDocument[generations];
         this.known = new boolean[generations];
-        Arrays.fill(places, KeyDocument.ABSENT);
+        Arrays.fill(documents, KeyDocument.ABSENT);
     }
 
     static KeyRing create(int generations) {
         return new KeyRing(generations);
     }
 
-    void put(int place, KeyDocument document) {
-        places[place] = document;
-        known[place] = true;
+    void put(int slot, KeyDocument document) {
+        documents[slot] = document;
+        known[slot] = true;
         if (document.version() == KeyDocument.ABSENT.version()) {
-            noteAbsentAfter(place);
+            markAbsentAfter(slot);
         }
     }
 
-    /** Places are first written in their order, so when one was never written to, those after it were not either. */
-    private void noteAbsentAfter(int place) {
-        for (int next = after(place); next != FIRST_PLACE; next = after(next)) {
+    /**
+     * Slots are first written in ascending order, so if one has never been written, those after it have not been
+     * either.
+     */
+    private void markAbsentAfter(int slot) {
+        for (int next = slotAfter(slot); next != FIRST_SLOT; next = slotAfter(next)) {
             known[next] = true;
         }
     }
 
-    private int after(int place) {
-        return (place + 1) % places.length;
+    private int slotAfter(int slot) {
+        return (slot + 1) % documents.length;
     }
 
-    /** Whether nothing has been read yet. */
-    boolean isUnknown() {
-        for (boolean one : known) {
-            if (one) {
+    /** Whether no slot has been read yet. */
+    boolean isUnread() {
+        for (boolean slotKnown : known) {
+            if (slotKnown) {
                 return false;
             }
         }
         return true;
     }
 
-    void forget(int place) {
-        known[place] = false;
+    void invalidate(int slot) {
+        known[slot] = false;
     }
 
-    void forgetAll() {
+    void clear() {
         Arrays.fill(known, false);
-        Arrays.fill(places, KeyDocument.ABSENT);
+        Arrays.fill(documents, KeyDocument.ABSENT);
     }
 
-    private int placeOf(long generation) {
-        return (int) (generation % places.length);
+    private int slotOf(long generation) {
+        return (int) (generation % documents.length);
     }
 
-    /** The newest generation known, {@link KeyDocument#ABSENT} when there is none. */
+    /** The newest generation in the local copy, or {@link KeyDocument#ABSENT} if there is none. */
     KeyDocument newest() {
         KeyDocument newest = KeyDocument.ABSENT;
-        for (KeyDocument document : places) {
+        for (KeyDocument document : documents) {
             newest = document.generation() > newest.generation() ? document : newest;
         }
         return newest;
     }
 
-    /** A binding once made stays true while its document stands, so an old copy serves to find one. */
+    /**
+     * Finds the binding of a key. A binding stays valid as long as its document exists, so a stale copy is sufficient
+     * to find it.
+     */
     Optional<KeyBinding> find(CallerKey key) {
-        for (KeyDocument document : places) {
+        for (KeyDocument document : documents) {
             Optional<KeyBinding> found = document.find(key);
             if (found.isPresent()) {
                 return found;
@@ -95,54 +102,53 @@
     }
 
     /**
-     * Places, in the order of their first writing, whose copy can't be the last state of their generation, and have to
-     * be read before anything is written.
+     * Returns the slots, in the order of their first write, whose local copy cannot be the final state of their
+     * generation and must be read before the next write.
      *
-     * <p>Reads of several places are not one point in time: a generation read while open may have been sealed, with
-     * more in it, before the next one was read.
+     * <p>Reads of several slots are not an atomic snapshot: a generation that was open when it was read may have
+     * received more bindings and been sealed before the next slot was read.
      */
-    List<Integer> stale() {
+    List<Integer> staleSlots() {
         List<Integer> stale = new ArrayList<>();
         long newest = newest().generation();
-        int place = FIRST_PLACE;
-        for (int i = 0; i < places.length; i++) {
-            if (!known[place] || !isLast(place, newest)) {
-                stale.add(place);
+        int slot = FIRST_SLOT;
+        for (int i = 0; i < documents.length; i++) {
+            if (!known[slot] || !isFinal(slot, newest)) {
+                stale.add(slot);
             }
-            place = after(place);
+            slot = slotAfter(slot);
         }
         return stale;
     }
 
-    private boolean isLast(int place, long newest) {
-        long back = Math.floorMod(newest - place, (long) places.length);
-        long expected = newest - back;
-        if (back == 0 || expected < 1) {
+    private boolean isFinal(int slot, long newest) {
+        long distance = Math.floorMod(newest - slot, (long) documents.length);
+        long expected = newest - distance;
+        if (distance == 0 || expected < 1) {
             return true;
         }
-        return places[place].generation() == expected && places[place].sealed();
+        return documents[slot].generation() == expected && documents[slot].sealed();
     }
 
-    /** A write to a place, on condition that its document's version is still that of {@code after}. */
-    record Write(int place, KeyDocument after) {}
+    /** A compare-and-set of one slot that expects the version of {@code document}. */
+    record Write(int slot, KeyDocument document) {}
 
-    /** Seals the newest generation, so that it takes no more bindings. */
+    /** Seals the newest generation, so that it accepts no more bindings. */
     Write seal() {
         KeyDocument newest = newest();
-        return new Write(placeOf(newest.generation()), newest.seal());
+        return new Write(slotOf(newest.generation()), newest.seal());
     }
 
     /**
-     * Adds bindings to the newest generation, or to a new one when the newest is sealed. Needs a ring without stale
-     * places.
+     * Adds bindings to the newest generation, or to a new one if the newest is sealed. Requires that no slot is stale.
      */
     Write add(Collection<KeyBinding> bindings) {
         KeyDocument newest = newest();
         if (newest.generation() > 0 && !newest.sealed()) {
-            return new Write(placeOf(newest.generation()), newest.with(bindings));
+            return new Write(slotOf(newest.generation()), newest.withBindings(bindings));
         }
         long next = newest.generation() + 1;
-        KeyDocument oldest = places[placeOf(next)];
-        return new Write(placeOf(next), KeyDocument.open(next, oldest.version()).with(bindings));
+        KeyDocument oldest = documents[slotOf(next)];
+        return new Write(slotOf(next), KeyDocument.open(next, oldest.version()).withBindings(bindings));
     }
 }
--- a/src/main/java/io/beryldock/idempotency/KeyScope.java
+++ b/src/main/java/io/beryldock/idempotency/KeyScope.java
@@ -2,7 +2,9 @@
 
 import com.google.common.hash.Hashing;
 
-/** Whose request a caller's key stands for, as 128 bits over identity and fingerprint. Immutable. */
+/**
+ * Identifies the caller and request that a key is bound to: 128 bits of a hash of identity and fingerprint. Immutable.
+ */
 public record KeyScope(long high, long low) {
 
     static KeyScope of(CallerIdentity identity, RequestFingerprint fingerprint) {
--- a/src/main/java/io/beryldock/idempotency/KeySettings.java
+++ b/src/main/java/io/beryldock/idempotency/KeySettings.java
@@ -3,20 +3,20 @@
 import java.time.Duration;
 
 /**
- * How callers' keys are kept in the platform store. Immutable.
+ * Settings for the storage of callers' keys in the platform store. Immutable.
  *
- * <p>{@code shards} and {@code generations} must be equal at every node of a deployment and never change while keys are
- * kept: two nodes that look for one key in two documents would bind it twice.
+ * <p>{@code shards} and {@code generations} must be equal at every node of a deployment and must not change while keys
+ * are retained: two nodes that look up a key in different documents would bind it twice.
  *
- * @param prefix of the store's keys
- * @param shards documents written side by side; with {@code writeGap} it bounds the store's writes
- * @param generations documents of one shard, the oldest of which is written over
- * @param generationAge shortest time that a generation is written to; a binding is kept for at least
- *     {@code (generations - 1) * generationAge}
- * @param writeGap shortest time between two writes of a shard by one node
- * @param retryGap wait before the store is asked again after a failure
- * @param timeout longest wait for a binding
- * @param maxDocumentBytes size of a document that takes no more bindings
+ * @param prefix prefix of the keys in the platform store
+ * @param shards number of independently written documents; together with {@code writeGap} it bounds the write rate
+ * @param generations number of documents per shard; a new generation overwrites the oldest document
+ * @param generationAge minimum time for which a generation is written; a binding is retained for at least {@code
+ *     (generations - 1) * generationAge}
+ * @param writeGap minimum time between two writes of a shard by one node
+ * @param retryGap initial back-off after a store failure
+ * @param timeout maximum wait for a binding
+ * @param maxDocumentBytes size at which a document accepts no more bindings
  */
 public record KeySettings(
         String prefix,
@@ -33,8 +33,8 @@
     private static final int DEFAULT_DOCUMENT_BYTES = 900_000;
 
     /**
-     * Keys kept for 46 minutes, which is longer than an unused ticket lives and its answer is kept together; at most
-     * 160 writes a second over all shards.
+     * Retains keys for 46 minutes, which exceeds the sum of an unused ticket's lifetime and the retention of its
+     * answer, and allows at most 160 writes a second over all shards.
      */
     public static KeySettings defaults() {
         return new KeySettings(
--- a/src/main/java/io/beryldock/idempotency/KeyShard.java
+++ b/src/main/java/io/beryldock/idempotency/KeyShard.java
@@ -16,41 +16,42 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Binds the keys of one shard, many with each write.
+ * Binds the keys of one shard, batching many bindings into each write.
  *
- * <p>Any number of nodes may do so for one shard at once: a binding is told only after the store applied the write that
- * holds it, or was read back with it. At most one call of this shard is under way. Called on the control thread only.
+ * <p>Any number of nodes may write the same shard concurrently: a binding is reported only after the store has applied
+ * the write that contains it, or after it has been read back from the store. At most one operation of this shard is
+ * pending at this node. Called on the control thread only.
  */
 final class KeyShard {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
-    /** Keys that may wait at once. */
+    /** Maximum number of keys that wait for the store. */
     private static final int MAX_WAITING = 5_000;
-    /** Documents read at once. */
+    /** Maximum number of documents read concurrently. */
     private static final int READ_CHUNK = 16;
-    /** Bytes of a binding with a home of its own. */
+    /** Upper bound for the bytes of a binding whose ticket home occurs nowhere else in the document. */
     static final int MAX_BINDING_BYTES = 400;
-    /** Longest wait before the store is asked again, as a multiple of the first. */
+    /** Maximum back-off, as a multiple of the initial back-off. */
     private static final int MAX_BACKOFF = 16;
-    /** Age at which a copy that nothing confirmed is dropped, in generation ages. */
+    /** Age, in generation ages, at which a local copy is discarded if no read or write has confirmed it. */
     private static final int COPY_AGES = 4;
 
-    private final int number;
+    private final int shard;
     private final IdempotencyPorts ports;
     private final KeySettings settings;
     private final KeyRing ring;
     private final Map<CallerKey, List<Waiter>> waiting = new LinkedHashMap<>();
 
-    private boolean busy;
+    private boolean operationPending;
     private int backoff = 1;
     private long confirmedAt;
     private long writableAt;
     private long openGeneration;
     private long openSince;
 
-    private KeyShard(int number, IdempotencyPorts ports, KeySettings settings) {
-        this.number = number;
+    private KeyShard(int shard, IdempotencyPorts ports, KeySettings settings) {
+        this.shard = shard;
         this.ports = ports;
         this.settings = settings;
         this.ring = KeyRing.create(settings.generations());
@@ -58,40 +59,40 @@
         this.writableAt = now();
     }
 
-    static KeyShard create(int number, IdempotencyPorts ports, KeySettings settings) {
-        return new KeyShard(number, ports, settings);
+    static KeyShard create(int shard, IdempotencyPorts ports, KeySettings settings) {
+        return new KeyShard(shard, ports, settings);
     }
 
-    /** Binds, or finds what the key is bound to already; Unknown when neither is sure in time. */
-    CompletableFuture<BindResult> bind(KeyBinding wanted, Duration timeLeft) {
+    /** Binds the key or returns its existing binding; Unknown if neither is confirmed in time. */
+    CompletableFuture<BindResult> bind(KeyBinding proposal, Duration timeLeft) {
         if (waiting.size() >= MAX_WAITING) {
             return CompletableFuture.completedFuture(unknown("too many keys wait for the platform store"));
         }
-        CompletableFuture<BindResult> told = new CompletableFuture<>();
-        Waiter waiter = new Waiter(wanted, told);
-        waiting.computeIfAbsent(wanted.key(), key -> new ArrayList<>(1)).add(waiter);
-        TimerService.Subscription overdue =
-                ports.timers().after(timeLeft, () -> ports.control().execute(() -> giveUp(waiter)));
-        FutureCallbacks.onEnd(told, (result, failure) -> overdue.cancel());
+        CompletableFuture<BindResult> result = new CompletableFuture<>();
+        Waiter waiter = new Waiter(proposal, result);
+        waiting.computeIfAbsent(proposal.key(), key -> new ArrayList<>(1)).add(waiter);
+        TimerService.Subscription timeoutTimer =
+                ports.timers().after(timeLeft, () -> ports.control().execute(() -> timeOut(waiter)));
+        FutureCallbacks.onComplete(result, (unused, failure) -> timeoutTimer.cancel());
         step();
-        return told;
+        return result;
     }
 
-    /** Whether nothing waits and the copy of the documents is old, so that the shard may be dropped. */
-    boolean idle() {
-        return waiting.isEmpty() && !busy && copyIsOld();
+    /** Whether no caller waits and the local copy has expired, so that the shard may be discarded. */
+    boolean isIdle() {
+        return waiting.isEmpty() && !operationPending && copyExpired();
     }
 
-    private boolean copyIsOld() {
+    private boolean copyExpired() {
         return now() - confirmedAt >= settings.generationAge().toNanos() * COPY_AGES;
     }
 
-    private void giveUp(Waiter waiter) {
-        List<Waiter> list = waiting.get(waiter.wanted().key());
+    private void timeOut(Waiter waiter) {
+        List<Waiter> list = waiting.get(waiter.proposal().key());
         if (list != null && list.remove(waiter) && list.isEmpty()) {
-            waiting.remove(waiter.wanted().key());
+            waiting.remove(waiter.proposal().key());
         }
-        waiter.told().complete(unknown("the platform store did not answer in time"));
+        waiter.result().complete(unknown("the platform store did not answer in time"));
     }
 
     private static BindResult unknown(String detail) {
@@ -100,19 +101,19 @@
                 detail + "; send it again under the same key, or take a ticket for a new request");
     }
 
-    /** Does the next thing there is to do; called whenever something changed. */
+    /** Starts the next operation, if any; called after every state change. */
     private void step() {
-        if (busy) {
+        if (operationPending) {
             return;
         }
-        if (copyIsOld()) {
-            ring.forgetAll();
+        if (copyExpired()) {
+            ring.clear();
         }
-        answerFound();
+        completeFound();
         if (waiting.isEmpty()) {
             return;
         }
-        List<Integer> stale = ring.stale();
+        List<Integer> stale = ring.staleSlots();
         if (!stale.isEmpty()) {
             read(stale);
             return;
@@ -125,24 +126,24 @@
         write();
     }
 
-    private void answerFound() {
+    private void completeFound() {
         for (CallerKey key : List.copyOf(waiting.keySet())) {
             Optional<KeyBinding> found = ring.find(key);
             if (found.isPresent()) {
                 List<Waiter> list = waiting.remove(key);
-                list.forEach(waiter -> waiter.told()
-                        .complete(found.get().resultFor(waiter.wanted().scope())));
+                list.forEach(waiter -> waiter.result()
+                        .complete(found.get().resultFor(waiter.proposal().scope())));
             }
         }
     }
 
     private void pause(Duration length) {
-        busy = true;
+        operationPending = true;
         ports.timers().after(length, () -> ports.control().execute(this::resume));
     }
 
     private void resume() {
-        busy = false;
+        operationPending = false;
         step();
     }
 
@@ -152,43 +153,43 @@
         pause(length);
     }
 
-    private void confirmed() {
+    private void markConfirmed() {
         backoff = 1;
         confirmedAt = now();
     }
 
-    private String place(int place) {
-        return settings.prefix() + number + "/" + place;
+    private String storeKey(int slot) {
+        return settings.prefix() + shard + "/" + slot;
     }
 
     /**
-     * Reads some of the stale places. The first alone: in a young shard it is the only one. After a failure one alone,
-     * since the store may still be down.
+     * Reads some of the stale slots. The first slot is read alone, because in a new shard it is the only one in use.
+     * After a failure a single slot is read as well, since the store may still be unavailable.
      */
     private void read(List<Integer> stale) {
-        busy = true;
-        List<Integer> chunk =
-                stale.subList(0, backoff > 1 || ring.isUnknown() ? 1 : Math.min(READ_CHUNK, stale.size()));
-        FutureCallbacks.onEnd(readAll(chunk), ports.control(), (documents, failure) -> {
+        operationPending = true;
+        List<Integer> chunk = stale.subList(0, backoff > 1 || ring.isUnread() ? 1 : Math.min(READ_CHUNK, stale.size()));
+        FutureCallbacks.onComplete(readAll(chunk), ports.control(), (documents, failure) -> {
             if (failure != null) {
-                log.atFine().withCause(failure).log("keys of shard %d can't be read", number);
+                log.atFine().withCause(failure).log(
+                        "cannot read key documents of shard %d from the platform store", shard);
                 pauseAfterFailure();
                 return;
             }
             for (int i = 0; i < documents.size(); i++) {
                 ring.put(chunk.get(i), documents.get(i));
             }
-            confirmed();
-            noteGeneration();
+            markConfirmed();
+            trackNewestGeneration();
             resume();
         });
     }
 
     private CompletableFuture<List<KeyDocument>> readAll(List<Integer> list) {
         CompletableFuture<List<KeyDocument>> all = CompletableFuture.completedFuture(new ArrayList<>());
-        for (int place : list) {
+        for (int slot : list) {
             all = all.thenCombine(
-                    ports.store().get(place(place)).thenCompose(KeyShard::parse), (documents, document) -> {
+                    ports.store().get(storeKey(slot)).thenCompose(KeyShard::parse), (documents, document) -> {
                         documents.add(document);
                         return documents;
                     });
@@ -204,8 +205,10 @@
         }
     }
 
-    /** Notes since when this node has seen the newest generation open: its age here is never more than its true one. */
-    private void noteGeneration() {
+    /**
+     * Records when this node first saw the newest generation open. The age derived from it never exceeds the true age.
+     */
+    private void trackNewestGeneration() {
         long newest = ring.newest().generation();
         if (newest != openGeneration) {
             openGeneration = newest;
@@ -228,7 +231,7 @@
         }
         boolean unbound =
                 batch.stream().noneMatch(binding -> ring.find(binding.key()).isPresent());
-        Invariants.check(ports.events(), unbound, place(0), "a key must be bound once");
+        Invariants.check(ports.events(), unbound, storeKey(0), "a key must be bound once");
         write(ring.add(batch), batch);
     }
 
@@ -236,54 +239,57 @@
         int room = Math.max(0, settings.maxDocumentBytes() - bytes) / MAX_BINDING_BYTES;
         return waiting.values().stream()
                 .limit(room)
-                .map(list -> list.get(0).wanted())
+                .map(list -> list.get(0).proposal())
                 .toList();
     }
 
-    /** The document is full before its time: nothing is forgotten early to make room. */
+    /**
+     * Refuses all waiting keys because the document is full before its generation may be sealed. No older binding is
+     * dropped to make room.
+     */
     private void refuseAll() {
         List<List<Waiter>> all = List.copyOf(waiting.values());
         waiting.clear();
         all.forEach(list ->
-                list.forEach(waiter -> waiter.told().complete(unknown("the shard holds as many keys as it may"))));
+                list.forEach(waiter -> waiter.result().complete(unknown("the shard holds as many keys as it may"))));
     }
 
     private void write(KeyRing.Write write, List<KeyBinding> batch) {
-        busy = true;
+        operationPending = true;
         writableAt = now() + settings.writeGap().toNanos();
         CompletableFuture<WriteResult> written = ports.store()
                 .compareAndSet(
-                        place(write.place()),
-                        write.after().version(),
-                        write.after().toBytes());
-        FutureCallbacks.onEnd(written, ports.control(), (result, failure) -> {
-            WriteResult known = failure == null ? result : WriteResult.unknown();
-            written(write, batch, known);
+                        storeKey(write.slot()),
+                        write.document().version(),
+                        write.document().toBytes());
+        FutureCallbacks.onComplete(written, ports.control(), (result, failure) -> {
+            WriteResult writeResult = failure == null ? result : WriteResult.unknown();
+            handleWriteResult(write, batch, writeResult);
         });
     }
 
-    private void written(KeyRing.Write write, List<KeyBinding> batch, WriteResult result) {
+    private void handleWriteResult(KeyRing.Write write, List<KeyBinding> batch, WriteResult result) {
         switch (result.kind()) {
             case APPLIED -> {
-                ring.put(write.place(), write.after().written(result.version()));
-                confirmed();
-                noteGeneration();
+                ring.put(write.slot(), write.document().withVersion(result.version()));
+                markConfirmed();
+                trackNewestGeneration();
                 if (!batch.isEmpty()) {
-                    ports.events().record(EventKind.KEY_BOUND, place(write.place()), batch.size() + " keys");
+                    ports.events().record(EventKind.KEY_BOUND, storeKey(write.slot()), batch.size() + " keys");
                 }
                 resume();
             }
             case CONFLICT -> {
-                // Another node wrote first; its document is read before the next try.
-                ring.forget(write.place());
+                // Another node wrote first; its document is read before the write is retried.
+                ring.invalidate(write.slot());
                 resume();
             }
             case NOT_APPLIED -> pauseAfterFailure();
             case UNKNOWN -> {
-                // The write may have taken effect, and may still do so. The place is read again: a key that it holds is
-                // bound. If it is unchanged the next write expects the same version, so that only one of the two
-                // counts.
-                ring.forget(write.place());
+                // The write may have been applied or may still be applied, so the slot is read again. A key found there
+                // is bound. If the slot is unchanged, the next write expects the same version, so that at most one of
+                // the two writes is applied.
+                ring.invalidate(write.slot());
                 pauseAfterFailure();
             }
         }
@@ -293,5 +299,5 @@
         return ports.timers().ticker().nanos();
     }
 
-    private record Waiter(KeyBinding wanted, CompletableFuture<BindResult> told) {}
+    private record Waiter(KeyBinding proposal, CompletableFuture<BindResult> result) {}
 }
--- a/src/main/java/io/beryldock/idempotency/KeyedRequest.java
+++ b/src/main/java/io/beryldock/idempotency/KeyedRequest.java
@@ -5,11 +5,11 @@
 import java.time.Duration;
 
 /**
- * A keyed call under way at one node, with its scope and the time that it came.
+ * A keyed call in progress at one node, with its scope and time of arrival.
  *
  * <p>Immutable.
  *
- * @param receivedAt by the ticker of this node
+ * @param receivedAt time of arrival on this node's ticker, in nanoseconds
  */
 record KeyedRequest(Call call, TicketScope scope, long receivedAt) {
 
@@ -21,18 +21,18 @@
         return Duration.ofNanos(Math.max(0, call.context().remainingNanos() - (now - receivedAt)));
     }
 
-    /** The call with what is left of its time. */
+    /** Returns the call with its remaining time reduced by the time since its arrival. */
     Call callAt(long now) {
         return call.attempt(call.id(), call.context().afterNanos(now - receivedAt));
     }
 
     /**
-     * A result that cost this request none of its retries.
+     * Returns the result with this request's full retry allowance unspent and no target time spent.
      *
-     * <p>Only the one request that was dispatched hands its allowance on. One that joined it or got a replay keeps its
-     * own, or the retries of a tree would be counted twice.
+     * <p>Only the request that was dispatched passes its allowance on. A request that joined it or received a replay
+     * keeps its own allowance; otherwise the retries of a call tree would be counted twice.
      */
-    CallResult withoutDispatch(CallResult result) {
+    CallResult withUnspentAllowance(CallResult result) {
         return result.withUnspentRetries(call.context().retryAllowance()).withSpentNanos(0);
     }
 }
--- a/src/main/java/io/beryldock/idempotency/KeyedRequestCoordinator.java
+++ b/src/main/java/io/beryldock/idempotency/KeyedRequestCoordinator.java
@@ -18,25 +18,23 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Takes a keyed request at its entry node to the one place that decides over its key, and brings back what became of
- * it.
+ * Routes a keyed request from its entry node to the node that owns its ticket, and returns the result.
  *
- * <p>A request that has a ticket goes to the ticket's home; a caller's own key is bound to a ticket first. NOT_RUN is
- * told only when the key is closed; a message that may be lost, a home that can't be reached and a store that can't be
- * asked give UNKNOWN. A caller that hangs up cancels nothing: the answer is kept for its next try. Thread safe: all
- * work is done on the control executor.
+ * <p>A request with a ticket goes to the ticket's home; a caller's own key is first bound to a ticket. NOT_RUN is
+ * returned only if the key is closed, malformed or a ticket that was never minted. A lost message, an unreachable home
+ * or an unavailable store yields UNKNOWN. A caller that disconnects cancels nothing: the answer is kept for its retry.
+ * Thread safe: all work runs on the control executor.
  */
 public final class KeyedRequestCoordinator {
 
     private final IdempotencyPorts ports;
     private final TicketRegistry tickets;
     private final KeyBinder binder;
-    private final HomeGoneResolver resolver;
+    private final AnswerResolver resolver;
     private final HomeLocator locator;
     private final TicketDispatch dispatch;
 
-    KeyedRequestCoordinator(
-            IdempotencyPorts ports, TicketRegistry tickets, KeyBinder binder, HomeGoneResolver resolver) {
+    KeyedRequestCoordinator(IdempotencyPorts ports, TicketRegistry tickets, KeyBinder binder, AnswerResolver resolver) {
         this.ports = ports;
         this.tickets = tickets;
         this.binder = binder;
@@ -45,32 +43,33 @@
         this.dispatch = TicketDispatch.create(ports, resolver);
     }
 
-    /** Handles a call that has a key: a ticket or the caller's own. */
+    /** Handles a call with a key, which is either a ticket or the caller's own key. */
     public CompletableFuture<CallResult> handle(Call call, CallerIdentity identity) {
         KeyedRequest request = KeyedRequest.of(call, identity, now());
-        CompletableFuture<CallResult> told = new CompletableFuture<>();
+        CompletableFuture<CallResult> promise = new CompletableFuture<>();
         ports.control()
-                .execute(() -> FutureCallbacks.onEnd(begin(request), (result, failure) -> tell(told, result, failure)));
-        return Deadlines.bound(ports.timers(), told, request.timeLeft(now()));
+                .execute(() -> FutureCallbacks.onComplete(
+                        route(request), (result, failure) -> complete(promise, result, failure)));
+        return Deadlines.withTimeout(ports.timers(), promise, request.timeLeft(now()));
     }
 
-    private static void tell(CompletableFuture<CallResult> told, CallResult result, Throwable failure) {
-        told.complete(failure == null ? result : CallResult.unknown(Reason.INTERNAL, String.valueOf(failure)));
+    private static void complete(CompletableFuture<CallResult> promise, CallResult result, Throwable failure) {
+        promise.complete(failure == null ? result : CallResult.unknown(Reason.INTERNAL, String.valueOf(failure)));
     }
 
-    private CompletableFuture<CallResult> begin(KeyedRequest request) {
+    private CompletableFuture<CallResult> route(KeyedRequest request) {
         String key = request.call().key().orElseThrow();
         try {
             return TicketId.isTicket(key)
                     ? present(TicketId.parse(key), request)
-                    : bindFirst(CallerKey.of(key), request);
+                    : bindAndPresent(CallerKey.of(key), request);
         } catch (IllegalArgumentException e) {
-            // No node reads such a key, so nothing can ever run under it.
+            // Every node rejects a malformed key, so no request can run under it.
             return CompletableFuture.completedFuture(CallResult.notRun(Reason.BAD_REQUEST, e.getMessage()));
         }
     }
 
-    private CompletableFuture<CallResult> bindFirst(CallerKey key, KeyedRequest request) {
+    private CompletableFuture<CallResult> bindAndPresent(CallerKey key, KeyedRequest request) {
         if (tickets.own().frozen()) {
             CallResult stopping = CallResult.unknown(Reason.DRAINING, "send it to another node under the same key");
             return CompletableFuture.completedFuture(stopping);
@@ -78,10 +77,10 @@
         Optional<TicketId> proposed = propose();
         KeyScope scope = KeyScope.of(request.scope().identity(), request.scope().fingerprint());
         return binder.bind(key, scope, proposed, request.timeLeft(now()))
-                .thenComposeAsync(result -> bound(result, proposed, request), ports.control());
+                .thenComposeAsync(result -> handleBindResult(result, proposed, request), ports.control());
     }
 
-    /** A new ticket for a key; none when the table is full, so that the key is closed if it is not bound yet. */
+    /** Mints a ticket for a key; empty if the table is full, so that the key is closed if it is not bound yet. */
     private Optional<TicketId> propose() {
         try {
             return Optional.of(tickets.own().mint());
@@ -90,9 +89,10 @@
         }
     }
 
-    private CompletableFuture<CallResult> bound(BindResult result, Optional<TicketId> proposed, KeyedRequest request) {
+    private CompletableFuture<CallResult> handleBindResult(
+            BindResult result, Optional<TicketId> proposed, KeyedRequest request) {
         if (result instanceof BindResult.Unknown unknown) {
-            // The proposed ticket stays: the store may still bind the key to it.
+            // The proposed ticket is not released: the store may still bind the key to it.
             return CompletableFuture.completedFuture(CallResult.unknown(unknown.reason(), unknown.detail()));
         }
         Optional<TicketId> chosen =
@@ -103,7 +103,7 @@
             return present(chosen.get(), request);
         }
         boolean closed = result instanceof BindResult.Closed;
-        return CompletableFuture.completedFuture(closed ? TicketTable.closed() : AnswerMemory.otherScope());
+        return CompletableFuture.completedFuture(closed ? TicketTable.keyClosed() : KeyedRunTable.keyInUse());
     }
 
     private CompletableFuture<CallResult> present(TicketId ticket, KeyedRequest request) {
@@ -111,46 +111,49 @@
         if (successor.isPresent()) {
             List<NodeDescriptor> holder =
                     locator.node(successor.get().node()).map(List::of).orElse(List.of());
-            return presentTo(holder, ticket, request);
+            return presentRemotely(holder, ticket, request);
         }
         return tickets.table(ticket.home())
                 .map(table -> dispatch.present(table, ticket, request))
-                .orElseGet(() -> presentTo(locator.deciders(ticket.home()), ticket, request));
+                .orElseGet(() -> presentRemotely(locator.candidates(ticket.home()), ticket, request));
     }
 
-    private CompletableFuture<CallResult> presentTo(
-            List<NodeDescriptor> deciders, TicketId ticket, KeyedRequest request) {
-        List<NodeDescriptor> others = deciders.stream()
+    private CompletableFuture<CallResult> presentRemotely(
+            List<NodeDescriptor> candidates, TicketId ticket, KeyedRequest request) {
+        List<NodeDescriptor> others = candidates.stream()
                 .filter(node -> !node.id().equals(ports.self().id()))
                 .toList();
         return askAll(others, ticket, request)
-                .thenComposeAsync(found -> foundOrSearch(found, ticket, request), ports.control());
+                .thenComposeAsync(found -> resultOrSearch(found, ticket, request), ports.control());
     }
 
-    private CompletableFuture<CallResult> foundOrSearch(
+    private CompletableFuture<CallResult> resultOrSearch(
             Optional<CallResult> found, TicketId ticket, KeyedRequest request) {
         if (found.isPresent()) {
             return CompletableFuture.completedFuture(found.get());
         }
         Duration left = request.timeLeft(now());
         return resolver.search(ticket, request.call().service(), request.scope(), left)
-                .thenApply(answer -> request.withoutDispatch(answer.orElse(TicketRegistry.unreachable())));
+                .thenApply(answer -> request.withUnspentAllowance(answer.orElse(TicketRegistry.homeUnreachable())));
     }
 
-    /** Asks them all at once: only the one that holds the ticket's table decides, whoever else is asked. */
+    /**
+     * Queries all candidates in parallel. This is safe because only the node that holds the ticket's table acts on the
+     * request.
+     */
     private CompletableFuture<Optional<CallResult>> askAll(
-            List<NodeDescriptor> deciders, TicketId ticket, KeyedRequest request) {
+            List<NodeDescriptor> candidates, TicketId ticket, KeyedRequest request) {
         CompletableFuture<Optional<CallResult>> first = new CompletableFuture<>();
-        if (deciders.isEmpty()) {
+        if (candidates.isEmpty()) {
             first.complete(Optional.empty());
         }
-        AtomicInteger awaited = new AtomicInteger(deciders.size());
-        for (NodeDescriptor decider : deciders) {
-            FutureCallbacks.onEnd(ask(decider, ticket, request), (result, failure) -> {
+        AtomicInteger outstanding = new AtomicInteger(candidates.size());
+        for (NodeDescriptor candidate : candidates) {
+            FutureCallbacks.onComplete(ask(candidate, ticket, request), (result, failure) -> {
                 if (failure == null && result.isPresent()) {
                     first.complete(result);
                 }
-                if (awaited.decrementAndGet() == 0) {
+                if (outstanding.decrementAndGet() == 0) {
                     first.complete(Optional.empty());
                 }
             });
@@ -158,35 +161,37 @@
         return first;
     }
 
-    private CompletableFuture<Optional<CallResult>> ask(NodeDescriptor decider, TicketId ticket, KeyedRequest request) {
-        return askOnce(decider, ticket, request)
-                .thenComposeAsync(reply -> followed(reply, decider, ticket, request), ports.control());
+    private CompletableFuture<Optional<CallResult>> ask(
+            NodeDescriptor candidate, TicketId ticket, KeyedRequest request) {
+        return askOnce(candidate, ticket, request)
+                .thenComposeAsync(reply -> followReferral(reply, candidate, ticket, request), ports.control());
     }
 
-    private CompletableFuture<Optional<CallResult>> followed(
-            WireTicketReply reply, NodeDescriptor decider, TicketId ticket, KeyedRequest request) {
+    private CompletableFuture<Optional<CallResult>> followReferral(
+            WireTicketReply reply, NodeDescriptor candidate, TicketId ticket, KeyedRequest request) {
         Optional<NodeDescriptor> successor =
-                successor(reply).filter(node -> !node.id().equals(decider.id()));
+                successor(reply).filter(node -> !node.id().equals(candidate.id()));
         if (successor.isEmpty()) {
-            return CompletableFuture.completedFuture(result(reply));
+            return CompletableFuture.completedFuture(decodeResult(reply));
         }
         if (successor.get().id().equals(ports.self().id())) {
             return tickets.table(ticket.home())
                     .map(table -> dispatch.present(table, ticket, request).thenApply(Optional::of))
                     .orElse(CompletableFuture.completedFuture(Optional.empty()));
         }
-        return askOnce(successor.get(), ticket, request).thenApply(KeyedRequestCoordinator::result);
+        return askOnce(successor.get(), ticket, request).thenApply(KeyedRequestCoordinator::decodeResult);
     }
 
     private Optional<NodeDescriptor> successor(WireTicketReply reply) {
         return reply.hasReferral() ? locator.node(NodeId.of(reply.getReferral().getSuccessor())) : Optional.empty();
     }
 
-    private static Optional<CallResult> result(WireTicketReply reply) {
+    private static Optional<CallResult> decodeResult(WireTicketReply reply) {
         return reply.hasResult() ? Optional.of(CallCodec.decode(reply.getResult())) : Optional.empty();
     }
 
-    private CompletableFuture<WireTicketReply> askOnce(NodeDescriptor decider, TicketId ticket, KeyedRequest request) {
+    private CompletableFuture<WireTicketReply> askOnce(
+            NodeDescriptor candidate, TicketId ticket, KeyedRequest request) {
         long now = now();
         WireTicketPresent present = WireTicketPresent.newBuilder()
                 .setTicket(ticket.toString())
@@ -195,11 +200,11 @@
                 .build();
         WireTicketRequest message =
                 WireTicketRequest.newBuilder().setPresent(present).build();
-        return ports.peers().ask(decider, message, request.timeLeft(now));
+        return ports.peers().ask(candidate, message, request.timeLeft(now));
     }
 
-    /** Decides over a request that another node presents. On the control thread. */
-    CompletableFuture<WireTicketReply> presented(WireTicketPresent present) {
+    /** Handles a request that another node forwards to this one. Called on the control thread. */
+    CompletableFuture<WireTicketReply> handlePresent(WireTicketPresent present) {
         TicketId ticket = TicketId.parse(present.getTicket());
         CallerIdentity identity = new CallerIdentity(present.getCall().getCallerIdentity());
         KeyedRequest request = KeyedRequest.of(CallCodec.decode(present.getCall()), identity, now());
@@ -211,7 +216,8 @@
         if (table.isEmpty()) {
             return CompletableFuture.completedFuture(notHome());
         }
-        return Deadlines.bound(ports.timers(), dispatch.present(table.get(), ticket, request), request.timeLeft(now()))
+        return Deadlines.withTimeout(
+                        ports.timers(), dispatch.present(table.get(), ticket, request), request.timeLeft(now()))
                 .thenApply(result -> WireTicketReply.newBuilder()
                         .setResult(CallCodec.encode(result))
                         .build());
--- a/src/main/java/io/beryldock/idempotency/KeyedRunTable.java
+++ b/src/main/java/io/beryldock/idempotency/KeyedRunTable.java
@@ -15,35 +15,38 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What a target's node remembers of the keyed requests that reached it: which it started, their answers, and which
- * attempts it refused.
+ * Records which keyed requests a target's node started, their results, and which attempts it refused.
  *
- * <p>Bounded in records and bytes; a record is forgotten only after the retention, an answer that does not fit is not
- * kept. Thread safe with a short lock; futures complete outside it.
+ * <p>The table is bounded in records and in bytes. A record is removed only after the retention period; an answer that
+ * exceeds the byte limit is not stored. Thread safe: a short critical section guards the records, and futures complete
+ * outside it.
  */
-public final class AnswerMemory {
+public final class KeyedRunTable {
 
     private static final long BASE_BYTES = TicketEntry.BASE_BYTES;
-    /** Room for refusals beyond the bound of started requests. */
-    private static final int REFUSAL_ROOM = 2;
+    /** Records, as a multiple of the ticket limit, up to which refused attempts are still recorded. */
+    private static final int REFUSAL_RECORDS_FACTOR = 2;
 
     private final TicketSettings settings;
     private final Ticker ticker;
-    /** By ticket; records that are not running stand in the order of their last change. */
+    /** Records by ticket; those that are not running are ordered by their last change. */
     private final Map<String, KeyedRun> records = new LinkedHashMap<>();
 
     private long bytes;
 
-    private AnswerMemory(TicketSettings settings, Ticker ticker) {
+    private KeyedRunTable(TicketSettings settings, Ticker ticker) {
         this.settings = settings;
         this.ticker = ticker;
     }
 
-    public static AnswerMemory create(TicketSettings settings, Ticker ticker) {
-        return new AnswerMemory(settings, ticker);
+    public static KeyedRunTable create(TicketSettings settings, Ticker ticker) {
+        return new KeyedRunTable(settings, ticker);
     }
 
-    /** Looks for the answer of a request; waits for it while the request runs. Empty when nothing is known here. */
+    /**
+     * Returns the result of a request, pending while the request runs; empty if the request was not started at this
+     * node.
+     */
     CompletableFuture<Optional<CallResult>> find(String ticket, TicketScope scope) {
         synchronized (records) {
             KeyedRun record = records.get(ticket);
@@ -51,17 +54,17 @@
                 return CompletableFuture.completedFuture(Optional.empty());
             }
             if (!record.scope.equals(scope)) {
-                return CompletableFuture.completedFuture(Optional.of(otherScope()));
+                return CompletableFuture.completedFuture(Optional.of(keyInUse()));
             }
             return record.started.thenApply(Optional::of);
         }
     }
 
-    static CallResult otherScope() {
+    static CallResult keyInUse() {
         return CallResult.unknown(Reason.KEY_IN_USE, "nothing was run and nothing replayed for this one");
     }
 
-    /** Records held. */
+    /** Number of records, running requests included. */
     public int size() {
         synchronized (records) {
             return records.size();
@@ -69,25 +72,26 @@
     }
 
     /**
-     * Marks the request as started unless it must not start.
+     * Marks the request as started if it may start.
      *
-     * @return empty when the caller must now run it and report by {@link #ended}; else what to tell instead
+     * @return empty if the caller must now run the request and report its end by {@link #recordResult}; otherwise the
+     *     result to return instead of running it
      */
-    Optional<CompletableFuture<CallResult>> start(String ticket, TicketScope scope, RequestId attempt) {
+    Optional<CompletableFuture<CallResult>> tryStart(String ticket, TicketScope scope, RequestId attempt) {
         synchronized (records) {
             expire();
             KeyedRun record = records.get(ticket);
             if (record != null && !record.scope.equals(scope)) {
-                return Optional.of(CompletableFuture.completedFuture(otherScope()));
+                return Optional.of(CompletableFuture.completedFuture(keyInUse()));
             }
             if (record != null && record.started != null) {
                 return Optional.of(record.started);
             }
             if (record != null && record.refused.contains(attempt)) {
-                return Optional.of(CompletableFuture.completedFuture(refusedBefore()));
+                return Optional.of(CompletableFuture.completedFuture(alreadyRefused()));
             }
             if (record == null && (records.size() >= settings.maxTickets() || bytes >= settings.maxBytes())) {
-                return Optional.of(CompletableFuture.completedFuture(refuseFull(ticket, scope, attempt)));
+                return Optional.of(CompletableFuture.completedFuture(refuseForLackOfSpace(ticket, scope, attempt)));
             }
             KeyedRun started = record == null ? add(ticket, scope) : record;
             started.started = new CompletableFuture<>();
@@ -95,19 +99,19 @@
         }
     }
 
-    private static CallResult refusedBefore() {
+    private static CallResult alreadyRefused() {
         return CallResult.notRun(Reason.TARGET_REFUSED, "this attempt was refused before; it is not started later");
     }
 
     /**
-     * Refuses when the memory is full.
+     * Refuses a request because the table is full.
      *
-     * <p>A copy of the message may come when there is room again. So the refusal must be remembered to be told as
-     * NOT_RUN; when there is no room even for that, only UNKNOWN is true.
+     * <p>A duplicate of the message may arrive after space has become free again. NOT_RUN is therefore reported only if
+     * the refusal itself can be recorded; if there is no space even for that record, the result is UNKNOWN.
      */
-    private CallResult refuseFull(String ticket, TicketScope scope, RequestId attempt) {
+    private CallResult refuseForLackOfSpace(String ticket, TicketScope scope, RequestId attempt) {
         String detail = "the target's node remembers as many keyed requests as it may";
-        if (records.size() >= REFUSAL_ROOM * settings.maxTickets()) {
+        if (records.size() >= REFUSAL_RECORDS_FACTOR * settings.maxTickets()) {
             return CallResult.unknown(Reason.TICKETS_FULL, detail);
         }
         add(ticket, scope).refused.add(attempt);
@@ -121,21 +125,21 @@
         return record;
     }
 
-    /** Takes the end of a request that this memory let start. */
-    void ended(String ticket, RequestId attempt, CallResult result) {
-        CompletableFuture<CallResult> waiting;
+    /** Records the result of a request for which {@link #tryStart} returned empty. */
+    void recordResult(String ticket, RequestId attempt, CallResult result) {
+        CompletableFuture<CallResult> pending;
         synchronized (records) {
             KeyedRun record = records.remove(ticket);
-            waiting = record.started;
+            pending = record.started;
             record.changedAt = ticker.nanos();
             records.put(ticket, record);
-            keep(record, attempt, result);
+            applyResult(record, attempt, result);
         }
-        waiting.complete(result);
+        pending.complete(result);
     }
 
-    /** Takes an answer that came after the run's end was unknown; anything else is dropped. */
-    void late(String ticket, CallResult result) {
+    /** Records an answer that arrives after the run ended as UNKNOWN; in any other state the answer is ignored. */
+    void recordLateAnswer(String ticket, CallResult result) {
         synchronized (records) {
             KeyedRun record = records.get(ticket);
             boolean unknown = record != null
@@ -143,23 +147,23 @@
                     && record.started.isDone()
                     && record.started.join().outcome() == Outcome.UNKNOWN;
             if (unknown && result.outcome() == Outcome.ANSWERED) {
-                record.started = CompletableFuture.completedFuture(keptAnswer(result));
+                record.started = CompletableFuture.completedFuture(retainAnswer(result));
             }
         }
     }
 
-    private void keep(KeyedRun record, RequestId attempt, CallResult result) {
+    private void applyResult(KeyedRun record, RequestId attempt, CallResult result) {
         switch (result.outcome()) {
             case NOT_RUN -> {
                 record.started = null;
                 record.refused.add(attempt);
             }
-            case ANSWERED -> record.started = CompletableFuture.completedFuture(keptAnswer(result));
+            case ANSWERED -> record.started = CompletableFuture.completedFuture(retainAnswer(result));
             case UNKNOWN -> record.started = CompletableFuture.completedFuture(result);
         }
     }
 
-    private CallResult keptAnswer(CallResult result) {
+    private CallResult retainAnswer(CallResult result) {
         long size = TicketEntry.sizeOf(result);
         if (bytes + size > settings.maxBytes()) {
             return CallResult.unknown(Reason.TICKETS_FULL, "it ran; its answer was too large to be kept");
@@ -191,11 +195,11 @@
         return answered ? TicketEntry.sizeOf(record.started.join()) : 0;
     }
 
-    /** One keyed request. Guarded by the lock of the memory. */
+    /** State of one keyed request. Guarded by the lock on the records. */
     private static final class KeyedRun {
         private final TicketScope scope;
         private final Set<RequestId> refused = new HashSet<>(1);
-        /** Its end, done or awaited; null while it was not started here. */
+        /** Result of the run, pending while it runs; null if the request has not been started here. */
         private CompletableFuture<CallResult> started;
 
         private long changedAt;
--- a/src/main/java/io/beryldock/idempotency/Rendezvous.java
+++ b/src/main/java/io/beryldock/idempotency/Rendezvous.java
@@ -9,8 +9,8 @@
 import java.util.Comparator;
 
 /**
- * Ranks nodes for a subject by rendezvous hashing: nodes with the same view agree, and a node that joins or leaves
- * changes the rank of no two others. Stateless, thread safe.
+ * Ranks nodes for a subject by rendezvous hashing: nodes with the same view compute the same ranking, and a node that
+ * joins or leaves does not change the relative order of the others. Stateless, thread safe.
  */
 final class Rendezvous {
 
@@ -18,7 +18,7 @@
 
     private Rendezvous() {}
 
-    /** The first {@code count} nodes for the subject. */
+    /** Returns the {@code count} highest-ranked nodes for the subject. */
     static ImmutableList<NodeDescriptor> first(Collection<NodeDescriptor> nodes, String subject, int count) {
         Comparator<Ranked> order = Comparator.comparingLong(Ranked::weight)
                 .reversed()
--- a/src/main/java/io/beryldock/idempotency/RequestFingerprint.java
+++ b/src/main/java/io/beryldock/idempotency/RequestFingerprint.java
@@ -6,7 +6,7 @@
 import io.beryldock.call.Call;
 import java.nio.charset.StandardCharsets;
 
-/** What a keyed request asks for: a hash over service, method, path with query, and body. Immutable. */
+/** Hash of the content of a keyed request: service, method, path with query, and body. Immutable. */
 public record RequestFingerprint(ByteString hash) {
 
     static final int BYTES = 16;
--- a/src/main/java/io/beryldock/idempotency/RunGuard.java
+++ b/src/main/java/io/beryldock/idempotency/RunGuard.java
@@ -8,43 +8,46 @@
 import java.util.function.Supplier;
 
 /**
- * Lets a target's node start a keyed request once.
+ * Ensures that a target's node starts a keyed request at most once.
  *
- * <p>Guards against a message between nodes that is delivered twice or late: the second copy would run the request
- * again, or run it after its first copy was refused and its caller was told NOT_RUN. A request that was started gives
- * every copy the same outcome, an attempt that was refused stays refused. So the guard must stand before everything
- * that may refuse a keyed request at the target's node: its drain, its admission, its quarantine. Thread safe.
+ * <p>Guards against messages between nodes that are duplicated or delayed: a second copy could run the request again,
+ * or run it after the first copy was refused and NOT_RUN was returned to the caller. All copies of a started request
+ * get the same outcome, and a refused attempt stays refused. The guard must therefore precede every check that may
+ * refuse a keyed request at the target's node: drain, admission and quarantine. Thread safe.
  */
 public final class RunGuard {
 
-    private final AnswerMemory memory;
+    private final KeyedRunTable runTable;
 
-    private RunGuard(AnswerMemory memory) {
-        this.memory = memory;
+    private RunGuard(KeyedRunTable runTable) {
+        this.runTable = runTable;
     }
 
-    public static RunGuard create(AnswerMemory memory) {
-        return new RunGuard(memory);
+    public static RunGuard create(KeyedRunTable runTable) {
+        return new RunGuard(runTable);
     }
 
-    /** Runs the call, whose key is its ticket, unless it was started or this attempt of it was refused before. */
+    /**
+     * Runs the call, whose key is a ticket, unless its request has been started or this attempt has been refused
+     * before.
+     */
     public CompletableFuture<CallResult> run(
             Call call, CallerIdentity identity, Supplier<CompletableFuture<CallResult>> run) {
         String ticket = call.key().orElseThrow();
         TicketScope scope = new TicketScope(identity, RequestFingerprint.of(call));
-        return memory.start(ticket, scope, call.id()).orElseGet(() -> started(call, ticket, run));
+        return runTable.tryStart(ticket, scope, call.id()).orElseGet(() -> runAndRecord(call, ticket, run));
     }
 
-    /** Takes the target's answer to a call whose time was over before it came; the caller's next try finds it. */
+    /** Records a target's answer that arrived after the call's deadline, so that the caller's retry finds it. */
     public void lateAnswer(Call call, CallResult answer) {
-        memory.late(call.key().orElseThrow(), answer);
+        runTable.recordLateAnswer(call.key().orElseThrow(), answer);
     }
 
-    private CompletableFuture<CallResult> started(
+    private CompletableFuture<CallResult> runAndRecord(
             Call call, String ticket, Supplier<CompletableFuture<CallResult>> run) {
         return attempt(run).handle((result, failure) -> {
-            CallResult end = failure == null ? result : failed(failure);
-            memory.ended(ticket, call.id(), end);
+            CallResult end = failure == null ? result : failureResult(failure);
+            runTable.recordResult(ticket, call.id(), end);
             return end;
         });
     }
@@ -57,8 +60,8 @@
         }
     }
 
-    /** A failure of the node itself: the request may have run. */
-    private static CallResult failed(Throwable failure) {
+    /** Result for an exception in this node: the request may have run. */
+    private static CallResult failureResult(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         return CallResult.unknown(Reason.INTERNAL, String.valueOf(cause));
     }
--- a/src/main/java/io/beryldock/idempotency/TicketDecision.java
+++ b/src/main/java/io/beryldock/idempotency/TicketDecision.java
@@ -2,21 +2,24 @@
 
 import io.beryldock.call.CallResult;
 
-/** What a home does with a keyed request that is presented to it. Immutable. */
+/** A home's decision about a keyed request that is presented to it. Immutable. */
 public sealed interface TicketDecision {
 
-    /** Run it: said once for a ticket, ever. The presenter waits as a joiner. */
+    /** Dispatch the request; returned at most once per ticket. The presenter waits as a joiner. */
     record Dispatch() implements TicketDecision {}
 
-    /** It is in flight; the presenter waits as a joiner. */
+    /** The request is in flight; the presenter waits as a joiner. */
     record Joined() implements TicketDecision {}
 
-    /** It has ended; here is its answer. */
+    /** The request has ended; its stored answer is replayed. */
     record Replay(CallResult result) implements TicketDecision {}
 
-    /** Nobody knows what became of it; an answer kept by a target's node may settle it, else this is told. */
-    record Settle(CallResult otherwise) implements TicketDecision {}
+    /**
+     * The outcome is UNKNOWN; an answer stored at a target's node may resolve it, otherwise {@code otherwise} is
+     * returned.
+     */
+    record Resolve(CallResult otherwise) implements TicketDecision {}
 
-    /** Nothing is run and nothing replayed. */
+    /** The request is refused: it is neither dispatched nor replayed. */
     record Refuse(CallResult result) implements TicketDecision {}
 }
--- a/src/main/java/io/beryldock/idempotency/TicketDispatch.java
+++ b/src/main/java/io/beryldock/idempotency/TicketDispatch.java
@@ -11,31 +11,32 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Carries out what a table at this node decides over a keyed request.
+ * Executes the decisions that a ticket table of this node makes about keyed requests.
  *
- * <p>Called on the control thread only; futures complete there or by timer.
+ * <p>Called on the control thread only; futures complete there or on a timer.
  */
 final class TicketDispatch {
 
-    /** Wait past a request's time for its real end, before its ticket counts as unknown. */
+    /** Time allowed beyond a request's deadline for its result to arrive, before its ticket becomes UNKNOWN. */
     private static final Duration GRACE = Duration.ofSeconds(1);
 
     private final IdempotencyPorts ports;
-    private final HomeGoneResolver resolver;
+    private final AnswerResolver resolver;
 
-    private TicketDispatch(IdempotencyPorts ports, HomeGoneResolver resolver) {
+    private TicketDispatch(IdempotencyPorts ports, AnswerResolver resolver) {
         this.ports = ports;
         this.resolver = resolver;
     }
 
-    static TicketDispatch create(IdempotencyPorts ports, HomeGoneResolver resolver) {
+    static TicketDispatch create(IdempotencyPorts ports, AnswerResolver resolver) {
         return new TicketDispatch(ports, resolver);
     }
 
     CompletableFuture<CallResult> present(TicketTable table, TicketId ticket, KeyedRequest request) {
         if (request.timeLeft(ports.timers().ticker().nanos()).isZero()) {
-            // Nobody waits any more. Sent on, it would be refused for lack of time, and its key closed for nothing.
-            return CompletableFuture.completedFuture(request.withoutDispatch(Deadlines.overdue()));
+            // The caller no longer waits. Dispatching the request would have it refused for lack of time, which would
+            // close its key needlessly.
+            return CompletableFuture.completedFuture(request.withUnspentAllowance(Deadlines.timedOut()));
         }
         CompletableFuture<CallResult> joined = new CompletableFuture<>();
         TicketScope scope = request.scope();
@@ -45,26 +46,26 @@
             return joined;
         }
         if (decision instanceof TicketDecision.Joined) {
-            return joined.thenApply(request::withoutDispatch);
+            return joined.thenApply(request::withUnspentAllowance);
         }
         if (decision instanceof TicketDecision.Replay replay) {
-            return CompletableFuture.completedFuture(request.withoutDispatch(replay.result()));
+            return CompletableFuture.completedFuture(request.withUnspentAllowance(replay.result()));
         }
         if (decision instanceof TicketDecision.Refuse refuse) {
-            return CompletableFuture.completedFuture(request.withoutDispatch(refuse.result()));
+            return CompletableFuture.completedFuture(request.withUnspentAllowance(refuse.result()));
         }
-        return settle(table, ticket, request, ((TicketDecision.Settle) decision).otherwise());
+        return resolveUnknown(table, ticket, request, ((TicketDecision.Resolve) decision).otherwise());
     }
 
     private void dispatch(TicketTable table, TicketId ticket, KeyedRequest request) {
         long now = ports.timers().ticker().nanos();
         Call call = request.callAt(now).withKey(ticket.toString());
         Duration limit = request.timeLeft(now).plus(GRACE);
-        TimerService.Subscription overdue = ports.timers()
-                .after(limit, () -> ports.control().execute(() -> table.settled(ticket, Deadlines.overdue())));
-        FutureCallbacks.onEnd(attempt(call, request.scope().identity()), ports.control(), (result, failure) -> {
-            overdue.cancel();
-            ended(table, ticket, failure == null ? result : failed(failure));
+        TimerService.Subscription timeoutTimer = ports.timers()
+                .after(limit, () -> ports.control().execute(() -> table.recordResult(ticket, Deadlines.timedOut())));
+        FutureCallbacks.onComplete(attempt(call, request.scope().identity()), ports.control(), (result, failure) -> {
+            timeoutTimer.cancel();
+            recordResult(table, ticket, failure == null ? result : failureResult(failure));
         });
     }
 
@@ -76,32 +77,32 @@
         }
     }
 
-    /** The dispatcher broke down: the request may be under way. */
-    private static CallResult failed(Throwable failure) {
+    /** Result for an exception in the dispatcher: the request may have been sent. */
+    private static CallResult failureResult(Throwable failure) {
         return CallResult.unknown(Reason.INTERNAL, String.valueOf(failure));
     }
 
-    private void ended(TicketTable table, TicketId ticket, CallResult result) {
+    private void recordResult(TicketTable table, TicketId ticket, CallResult result) {
         if (result.outcome() == Outcome.UNKNOWN) {
             ports.events().record(EventKind.OUTCOME_UNKNOWN, ticket.toString(), result.detail());
         }
-        table.settled(ticket, result);
+        table.recordResult(ticket, result);
     }
 
-    private CompletableFuture<CallResult> settle(
+    private CompletableFuture<CallResult> resolveUnknown(
             TicketTable table, TicketId ticket, KeyedRequest request, CallResult otherwise) {
         Duration left = request.timeLeft(ports.timers().ticker().nanos());
         return resolver.search(ticket, request.call().service(), request.scope(), left)
-                .thenApplyAsync(found -> settled(table, ticket, request, found, otherwise), ports.control());
+                .thenApplyAsync(found -> recordFound(table, ticket, request, found, otherwise), ports.control());
     }
 
-    private static CallResult settled(
+    private static CallResult recordFound(
             TicketTable table,
             TicketId ticket,
             KeyedRequest request,
             Optional<CallResult> found,
             CallResult otherwise) {
-        found.ifPresent(result -> table.settled(ticket, result));
-        return request.withoutDispatch(found.orElse(otherwise));
+        found.ifPresent(result -> table.recordResult(ticket, result));
+        return request.withUnspentAllowance(found.orElse(otherwise));
     }
 }
--- a/src/main/java/io/beryldock/idempotency/TicketEntry.java
+++ b/src/main/java/io/beryldock/idempotency/TicketEntry.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 
 /**
- * What a table holds of one ticket. Used on the control thread only.
+ * State of one ticket in a table. Used on the control thread only.
  *
- * <p>The table checks that NEW is left once and never entered again.
+ * <p>The table ensures that an entry leaves the state NEW once and never returns to it.
  */
 final class TicketEntry {
 
-    /** Estimate of the memory of an entry without its answer. */
+    /** Estimated size of an entry without its answer, in bytes. */
     static final long BASE_BYTES = 550;
 
     private final long nonce;
@@ -62,15 +62,15 @@
         return BASE_BYTES + result.map(TicketEntry::sizeOf).orElse(0L);
     }
 
-    void dispatch(TicketScope presented, long now) {
+    void dispatch(TicketScope newScope, long now) {
         state = TicketState.IN_FLIGHT;
-        scope = Optional.of(presented);
+        scope = Optional.of(newScope);
         changedAt = now;
     }
 
-    void end(TicketState ended, Optional<CallResult> kept, long now) {
-        state = ended;
-        result = kept;
+    void end(TicketState newState, Optional<CallResult> newResult, long now) {
+        state = newState;
+        result = newResult;
         changedAt = now;
     }
 
--- a/src/main/java/io/beryldock/idempotency/TicketHandover.java
+++ b/src/main/java/io/beryldock/idempotency/TicketHandover.java
@@ -15,12 +15,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Hands the ticket tables of a node that is stopping over to its neighbours.
+ * Hands the ticket tables of a stopping node over to its neighbours.
  *
- * <p>The tables are frozen first, for ever, whatever becomes of the transfer. A table goes to one successor: another
- * one is tried only while the first can't have it whole, that is before its last part was sent, or after it said that
- * it will never take it. After that the last part is repeated until it is acknowledged or the time is over; a table
- * whose transfer got lost is asked in vain, and its tickets end UNKNOWN. Called on the control thread only.
+ * <p>The tables are frozen first and stay frozen, whether or not the transfer succeeds. A table has at most one
+ * successor: another node is tried only while the previous one cannot hold the whole table, which means before the last
+ * part was sent or after a definite refusal. Otherwise the last part is repeated until it is acknowledged or the
+ * deadline passes. The tickets of a table whose transfer fails end UNKNOWN. Called on the control thread only.
  */
 public final class TicketHandover {
 
@@ -32,7 +32,7 @@
     private final TicketRegistry tickets;
     private final HomeLocator locator;
     private final long partBytes;
-    private Optional<CompletableFuture<Integer>> stopping = Optional.empty();
+    private Optional<CompletableFuture<Integer>> stopResult = Optional.empty();
 
     private TicketHandover(IdempotencyPorts ports, TicketRegistry tickets, long partBytes) {
         this.ports = ports;
@@ -48,78 +48,78 @@
     /**
      * Waits until no ticket is in flight, freezes all tables and hands them over.
      *
-     * <p>To be called when the node takes no more requests of callers.
+     * <p>To be called after the node has stopped accepting requests of callers.
      *
-     * @param drainLimit longest wait for tickets in flight; those still there then are handed over as unknown
-     * @param transferLimit longest time for the transfer
-     * @return completes when every table is with its successor or given up; tells how many were given up
+     * @param drainLimit maximum wait for tickets in flight; tickets still in flight after it are handed over as UNKNOWN
+     * @param transferLimit maximum time for the transfer
+     * @return completes when every table is handed over or given up, with the number of tables given up
      */
     public CompletableFuture<Integer> stop(Duration drainLimit, Duration transferLimit) {
-        if (stopping.isPresent()) {
-            // A second signal to stop must not hand the tables over to a second successor.
-            return stopping.get();
+        if (stopResult.isPresent()) {
+            // A repeated stop request must not hand the tables over to a second successor.
+            return stopResult.get();
         }
-        CompletableFuture<Integer> lost = new CompletableFuture<>();
-        stopping = Optional.of(lost);
-        awaitIdle(now() + drainLimit.toNanos(), () -> handOverAll(transferLimit, lost));
-        return lost;
+        CompletableFuture<Integer> givenUp = new CompletableFuture<>();
+        stopResult = Optional.of(givenUp);
+        awaitIdle(now() + drainLimit.toNanos(), () -> handOverAll(transferLimit, givenUp));
+        return givenUp;
     }
 
-    private void awaitIdle(long deadline, Runnable then) {
+    private void awaitIdle(long deadline, Runnable action) {
         if (tickets.inFlight() == 0 || now() - deadline >= 0) {
-            then.run();
+            action.run();
             return;
         }
-        later(POLL, () -> awaitIdle(deadline, then));
+        schedule(POLL, () -> awaitIdle(deadline, action));
     }
 
-    private void handOverAll(Duration limit, CompletableFuture<Integer> lost) {
+    private void handOverAll(Duration limit, CompletableFuture<Integer> givenUp) {
         long deadline = now() + limit.toNanos();
         CompletableFuture<Integer> sum = CompletableFuture.completedFuture(0);
         for (TicketTransfer transfer : tickets.freezeAll()) {
             if (!transfer.entries().isEmpty()) {
-                sum = sum.thenCombine(handOver(transfer, deadline), (left, taken) -> left + (taken ? 0 : 1));
+                sum = sum.thenCombine(handOver(transfer, deadline), (count, adopted) -> count + (adopted ? 0 : 1));
             }
         }
-        FutureCallbacks.onEnd(sum, (count, failure) -> lost.complete(count));
+        FutureCallbacks.onComplete(sum, (count, failure) -> givenUp.complete(count));
     }
 
     private CompletableFuture<Boolean> handOver(TicketTransfer transfer, long deadline) {
         ImmutableList<NodeDescriptor> candidates = locator.successors(transfer.origin()).stream()
                 .filter(node -> !node.id().equals(ports.self().id()))
                 .collect(ImmutableList.toImmutableList());
-        CompletableFuture<Boolean> taken = new CompletableFuture<>();
-        new Transfer(transfer, deadline, candidates, taken).offerNext();
-        return taken;
+        CompletableFuture<Boolean> adopted = new CompletableFuture<>();
+        new Transfer(transfer, deadline, candidates, adopted).offerNext();
+        return adopted;
     }
 
-    /** The way of one table to its successor. */
+    /** Transfer of one table to its successor. */
     private final class Transfer {
         private final TicketTransfer table;
         private final long deadline;
         private final List<Map<Long, TicketEntry>> parts;
-        private final CompletableFuture<Boolean> taken;
-        private ImmutableList<NodeDescriptor> untried;
+        private final CompletableFuture<Boolean> adopted;
+        private ImmutableList<NodeDescriptor> remaining;
 
         Transfer(
                 TicketTransfer table,
                 long deadline,
                 ImmutableList<NodeDescriptor> candidates,
-                CompletableFuture<Boolean> taken) {
+                CompletableFuture<Boolean> adopted) {
             this.table = table;
             this.deadline = deadline;
             this.parts = table.parts(partBytes);
-            this.taken = taken;
-            this.untried = candidates;
+            this.adopted = adopted;
+            this.remaining = candidates;
         }
 
         void offerNext() {
-            if (untried.isEmpty() || now() - deadline >= 0) {
-                lost();
+            if (remaining.isEmpty() || now() - deadline >= 0) {
+                giveUp();
                 return;
             }
-            NodeDescriptor successor = untried.get(0);
-            untried = untried.subList(1, untried.size());
+            NodeDescriptor successor = remaining.get(0);
+            remaining = remaining.subList(1, remaining.size());
             ask(successor, WireTicketRequest.newBuilder().setOffer(offer(successor)), (accepted, failure) -> {
                 if (accepted) {
                     send(successor, 0);
@@ -146,30 +146,30 @@
         }
 
         /**
-         * The acknowledgement of the last part is missing. The successor may hold the whole table and decide by now, so
-         * no other node may get it: two would dispatch one ticket each.
+         * Sends the last part again because its acknowledgement is missing. The successor may already hold the whole
+         * table and act on it, so the table must not be offered to another node: both would dispatch the same tickets.
          */
         private void repeatLast(NodeDescriptor successor, int number) {
             if (now() - deadline >= 0) {
-                lost();
+                giveUp();
                 return;
             }
-            later(REPEAT_GAP, () -> send(successor, number));
+            schedule(REPEAT_GAP, () -> send(successor, number));
         }
 
         private void handedOver(NodeDescriptor successor) {
-            tickets.handedOver(table.origin(), TicketHome.of(successor));
+            tickets.recordHandover(table.origin(), TicketHome.of(successor));
             String detail = table.entries().size() + " tickets to " + successor.id();
             ports.events()
                     .record(EventKind.TICKETS_HANDED_OVER, table.origin().node().value(), detail);
-            taken.complete(true);
+            adopted.complete(true);
         }
 
-        private void lost() {
+        private void giveUp() {
             String detail = table.entries().size() + " tickets given up; they end UNKNOWN";
             ports.events()
                     .record(EventKind.TICKETS_HANDED_OVER, table.origin().node().value(), detail);
-            taken.complete(false);
+            adopted.complete(false);
         }
 
         private WireTicketOffer offer(NodeDescriptor successor) {
@@ -190,19 +190,19 @@
                     .setSuccessorHigh(successor.incarnation().high())
                     .setSuccessorLow(successor.incarnation().low())
                     .setNumber(number)
-                    .addAllEntries(TicketTransfer.write(parts.get(number), now()))
+                    .addAllEntries(TicketTransfer.encode(parts.get(number), now()))
                     .build();
         }
     }
 
-    /** What a successor said, or that it said nothing. */
+    /** Receives a successor's reply, or the failure to get one. */
     @FunctionalInterface
     private interface ReplyListener {
         void replied(boolean accepted, boolean failure);
     }
 
     private void ask(NodeDescriptor successor, WireTicketRequest.Builder request, ReplyListener listener) {
-        FutureCallbacks.onEnd(
+        FutureCallbacks.onComplete(
                 ports.peers().ask(successor, request.build(), ASK_TIMEOUT), ports.control(), (reply, failure) -> {
                     boolean replied = failure == null && reply.hasHandover();
                     WireTicketHandoverReply handover =
@@ -211,7 +211,7 @@
                 });
     }
 
-    private void later(Duration delay, Runnable task) {
+    private void schedule(Duration delay, Runnable task) {
         TimerService.Subscription unused =
                 ports.timers().after(delay, () -> ports.control().execute(task));
     }
--- a/src/main/java/io/beryldock/idempotency/TicketHome.java
+++ b/src/main/java/io/beryldock/idempotency/TicketHome.java
@@ -7,7 +7,8 @@
 import io.beryldock.wire.WireTicketHome;
 
 /**
- * One start of a node that mints tickets; the only one that ever decides over them, or its one successor. Immutable.
+ * One incarnation of a node that mints tickets. Only the home, or its single successor after a handover, decides on its
+ * tickets. Immutable.
  */
 public record TicketHome(DataCentre dataCentre, NodeId node, Incarnation incarnation) {
 
--- a/src/main/java/io/beryldock/idempotency/TicketId.java
+++ b/src/main/java/io/beryldock/idempotency/TicketId.java
@@ -8,29 +8,29 @@
 import java.util.List;
 
 /**
- * Identifier of one ticket: who decides over it and a number of its own.
+ * Identifier of a ticket: its home, a counter and a nonce.
  *
- * <p>Immutable. The text form is {@code bd1:DATA-CENTRE:NODE:INCARNATION:COUNTER:NONCE}, for example
- * {@code bd1:gent-a:gent-a-lists-1:0123456789abcdef0123456789abcdef:1f:00c0ffee00c0ffee}; names hold no colon. The
- * nonce is random, so that nobody can present a ticket that was given to another caller by counting.
+ * <p>Immutable. The text form is {@code bd1:DATA-CENTRE:NODE:INCARNATION:COUNTER:NONCE}, for example {@code
+ * bd1:gent-a:gent-a-lists-1:0123456789abcdef0123456789abcdef:1f:00c0ffee00c0ffee}; names contain no colon. The nonce is
+ * random, so that a caller cannot guess another caller's ticket by counting.
  *
- * @param counter rises with each ticket of the home, from 1
+ * @param counter sequence number of the ticket at its home, starting at 1
  */
 public record TicketId(TicketHome home, long counter, long nonce) {
 
-    /** How the text form of every ticket starts. */
+    /** Prefix of the text form of every ticket. */
     public static final String PREFIX = "bd1:";
 
     private static final int PARTS = 6;
     private static final int HEX = 16;
     private static final Splitter COLON = Splitter.on(':');
 
-    /** Whether the text of a key means to be a ticket, well formed or not. */
+    /** Whether a key has the prefix of a ticket; the rest may still be malformed. */
     public static boolean isTicket(String key) {
         return key.startsWith(PREFIX);
     }
 
-    /** Reads the text form; throws {@link IllegalArgumentException} when it is malformed. */
+    /** Parses the text form; throws {@link IllegalArgumentException} if it is malformed. */
     public static TicketId parse(String text) {
         List<String> parts = COLON.splitToList(text);
         if (parts.size() != PARTS || !isTicket(text)) {
--- a/src/main/java/io/beryldock/idempotency/TicketMessageHandler.java
+++ b/src/main/java/io/beryldock/idempotency/TicketMessageHandler.java
@@ -15,10 +15,10 @@
 import java.util.concurrent.Executor;
 
 /**
- * Takes the messages of the topic TICKETS and replies to them.
+ * Handles messages of the topic TICKETS and replies to them.
  *
- * <p>Thread safe: decisions are posted to the control executor. A message that can't be read gets an empty reply, which
- * its sender takes for no answer.
+ * <p>Thread safe: requests are processed on the control executor. A malformed message gets an empty reply, which its
+ * sender treats as no answer.
  */
 public final class TicketMessageHandler implements PeerHandler {
 
@@ -27,19 +27,19 @@
     private final KeyedRequestCoordinator coordinator;
     private final KeyBinder binder;
     private final TicketReceiver receiver;
-    private final AnswerMemory memory;
+    private final KeyedRunTable runTable;
     private final Executor control;
 
     TicketMessageHandler(
             KeyedRequestCoordinator coordinator,
             KeyBinder binder,
             TicketReceiver receiver,
-            AnswerMemory memory,
+            KeyedRunTable runTable,
             Executor control) {
         this.coordinator = coordinator;
         this.binder = binder;
         this.receiver = receiver;
-        this.memory = memory;
+        this.runTable = runTable;
         this.control = control;
     }
 
@@ -47,34 +47,35 @@
     public void handle(PeerMessage message) {
         try {
             WireTicketRequest request = WireTicketRequest.parseFrom(message.body());
-            control.execute(() -> FutureCallbacks.onEnd(
-                    answer(request),
-                    (reply, failure) -> message.reply(sendable(reply, failure).toByteString())));
+            control.execute(() -> FutureCallbacks.onComplete(
+                    process(request),
+                    (reply, failure) ->
+                            message.reply(replyOrEmpty(reply, failure).toByteString())));
         } catch (InvalidProtocolBufferException e) {
-            log.atWarning().withCause(e).log("dropped a malformed ticket message of %s", message.sender());
+            log.atWarning().withCause(e).log("dropped malformed ticket message from %s", message.sender());
             message.reply(WireTicketReply.getDefaultInstance().toByteString());
         }
     }
 
-    private static WireTicketReply sendable(WireTicketReply reply, Throwable failure) {
+    private static WireTicketReply replyOrEmpty(WireTicketReply reply, Throwable failure) {
         if (failure == null) {
             return reply;
         }
-        log.atWarning().withCause(failure).log("a ticket message failed");
+        log.atWarning().withCause(failure).log("failed to process ticket message; sending an empty reply");
         return WireTicketReply.getDefaultInstance();
     }
 
-    private CompletableFuture<WireTicketReply> answer(WireTicketRequest request) {
+    private CompletableFuture<WireTicketReply> process(WireTicketRequest request) {
         try {
             return switch (request.getKindCase()) {
-                case PRESENT -> coordinator.presented(request.getPresent());
+                case PRESENT -> coordinator.handlePresent(request.getPresent());
                 case ANSWER_QUERY -> find(request.getAnswerQuery());
                 case BIND ->
-                    binder.asked(request.getBind())
+                    binder.handleBind(request.getBind())
                             .thenApply(bound ->
                                     WireTicketReply.newBuilder().setBind(bound).build());
-                case OFFER -> handover(receiver.offered(request.getOffer()));
-                case PART -> handover(receiver.received(request.getPart()));
+                case OFFER -> handover(receiver.handleOffer(request.getOffer()));
+                case PART -> handover(receiver.handlePart(request.getPart()));
                 case KIND_NOT_SET -> CompletableFuture.completedFuture(WireTicketReply.getDefaultInstance());
             };
         } catch (IllegalArgumentException e) {
@@ -90,7 +91,7 @@
     private CompletableFuture<WireTicketReply> find(WireAnswerQuery query) {
         TicketScope scope = new TicketScope(
                 new CallerIdentity(query.getIdentity()), new RequestFingerprint(query.getFingerprint()));
-        return memory.find(query.getTicket(), scope).thenApply(TicketMessageHandler::reply);
+        return runTable.find(query.getTicket(), scope).thenApply(TicketMessageHandler::reply);
     }
 
     private static WireTicketReply reply(Optional<CallResult> found) {
--- a/src/main/java/io/beryldock/idempotency/TicketPeers.java
+++ b/src/main/java/io/beryldock/idempotency/TicketPeers.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** Sends a request on the topic TICKETS; the future fails only with a PeerException, and completes on any thread. */
+/** Sends a request on the topic TICKETS. The future may complete on any thread; it fails only with a PeerException. */
 @FunctionalInterface
 public interface TicketPeers {
 
--- a/src/main/java/io/beryldock/idempotency/TicketReceiver.java
+++ b/src/main/java/io/beryldock/idempotency/TicketReceiver.java
@@ -15,26 +15,26 @@
 import java.util.Optional;
 
 /**
- * Takes the frozen tables of stopping nodes.
+ * Receives the frozen tables of stopping nodes.
  *
- * <p>Invariants: a table is adopted only when every part of it is here; what was refused or given up is refused for
- * ever, so that copies of old messages can't put a table together that meanwhile lives elsewhere. Called on the control
- * thread only.
+ * <p>Invariants: a table is adopted only after all its parts have arrived; a table that was refused or timed out stays
+ * refused, so that delayed copies of old messages cannot assemble a table that another node holds by then. Called on
+ * the control thread only.
  */
 final class TicketReceiver {
 
-    /** Longest time between the offer and the last part. */
-    static final Duration LIMIT = Duration.ofSeconds(60);
+    /** Maximum time between the offer and the last part. */
+    static final Duration TRANSFER_TIMEOUT = Duration.ofSeconds(60);
 
-    private static final int MAX_REMEMBERED = 10_000;
+    private static final int MAX_DECISIONS = 10_000;
 
     private final TicketHome self;
     private final TicketRegistry tickets;
     private final Ticker ticker;
     private final EventSink events;
     private final Map<TicketHome, IncomingTable> incoming = new HashMap<>();
-    /** Whether the tables that were offered were taken, the oldest first. */
-    private final Map<TicketHome, Boolean> decided = new LinkedHashMap<>();
+    /** Decisions on offered tables, oldest first: true if the table was adopted. */
+    private final Map<TicketHome, Boolean> decisions = new LinkedHashMap<>();
 
     private TicketReceiver(TicketHome self, TicketRegistry tickets, Ticker ticker, EventSink events) {
         this.self = self;
@@ -47,31 +47,33 @@
         return new TicketReceiver(self, tickets, ticker, events);
     }
 
-    WireTicketHandoverReply offered(WireTicketOffer offer) {
+    WireTicketHandoverReply handleOffer(WireTicketOffer offer) {
         TicketHome origin = TicketHome.fromWire(offer.getOrigin());
-        boolean meant = isSelf(offer.getSuccessorHigh(), offer.getSuccessorLow());
-        if (!meant || decided.containsKey(origin) || tickets.table(origin).isPresent()) {
+        boolean addressedToSelf = isSelf(offer.getSuccessorHigh(), offer.getSuccessorLow());
+        if (!addressedToSelf
+                || decisions.containsKey(origin)
+                || tickets.table(origin).isPresent()) {
             return reply(false);
         }
         if (!tickets.hasRoom(offer.getEntries(), offer.getBytes())) {
-            return decide(origin, false);
+            return recordDecision(origin, false);
         }
         incoming.computeIfAbsent(origin, home -> new IncomingTable(offer, ticker.nanos()));
         return reply(true);
     }
 
-    WireTicketHandoverReply received(WireTicketPart part) {
+    WireTicketHandoverReply handlePart(WireTicketPart part) {
         TicketHome origin = TicketHome.fromWire(part.getOrigin());
         if (!isSelf(part.getSuccessorHigh(), part.getSuccessorLow())) {
             return reply(false);
         }
-        if (decided.containsKey(origin)) {
-            return reply(decided.get(origin));
+        if (decisions.containsKey(origin)) {
+            return reply(decisions.get(origin));
         }
         IncomingTable table = incoming.get(origin);
-        boolean late = table != null && ticker.nanos() - table.offeredAt > LIMIT.toNanos();
-        if (table == null || late || tickets.own().frozen()) {
-            return decide(origin, false);
+        boolean expired = table != null && ticker.nanos() - table.offeredAt > TRANSFER_TIMEOUT.toNanos();
+        if (table == null || expired || tickets.own().frozen()) {
+            return recordDecision(origin, false);
         }
         table.parts.put(part.getNumber(), part);
         if (table.parts.size() < table.offer.getParts()) {
@@ -79,27 +81,27 @@
         }
         tickets.adopt(table.transfer(origin));
         events.record(EventKind.TICKETS_HANDED_OVER, origin.node().value(), "taken over, whole");
-        return decide(origin, true);
+        return recordDecision(origin, true);
     }
 
     private boolean isSelf(long high, long low) {
         return self.incarnation().high() == high && self.incarnation().low() == low;
     }
 
-    private WireTicketHandoverReply decide(TicketHome origin, boolean taken) {
+    private WireTicketHandoverReply recordDecision(TicketHome origin, boolean adopted) {
         incoming.remove(origin);
-        decided.put(origin, taken);
-        if (decided.size() > MAX_REMEMBERED) {
-            decided.remove(decided.keySet().iterator().next());
+        decisions.put(origin, adopted);
+        if (decisions.size() > MAX_DECISIONS) {
+            decisions.remove(decisions.keySet().iterator().next());
         }
-        return reply(taken);
+        return reply(adopted);
     }
 
     private static WireTicketHandoverReply reply(boolean accepted) {
         return WireTicketHandoverReply.newBuilder().setAccepted(accepted).build();
     }
 
-    /** A table of which some parts are here. */
+    /** A table whose parts are still arriving. */
     private static final class IncomingTable {
         private final WireTicketOffer offer;
         private final long offeredAt;
@@ -113,16 +115,16 @@
         TicketTransfer transfer(TicketHome origin) {
             Map<Long, TicketEntry> entries = new LinkedHashMap<>();
             for (int number = 0; number < offer.getParts(); number++) {
-                parts.get(number).getEntriesList().forEach(entry -> entries.put(entry.getCounter(), read(entry)));
+                parts.get(number).getEntriesList().forEach(entry -> entries.put(entry.getCounter(), decode(entry)));
             }
-            return TicketTransfer.whole(origin, offer.getLastCounter(), entries);
+            return TicketTransfer.ofParts(origin, offer.getLastCounter(), entries);
         }
 
         /**
-         * The age counts from the offer, before any part was sent: a part that was long under way must not make an
-         * unused ticket young again, since the binding of its key may be over by then.
+         * Decodes an entry. Its age counts from the offer, which precedes every part: otherwise a delayed part would
+         * extend the lifetime of an unused ticket beyond the retention of its key's binding.
          */
-        private TicketEntry read(WireTicketEntry wire) {
+        private TicketEntry decode(WireTicketEntry wire) {
             Optional<TicketScope> scope = wire.getFingerprint().isEmpty()
                     ? Optional.empty()
                     : Optional.of(new TicketScope(
--- a/src/main/java/io/beryldock/idempotency/TicketRefusedException.java
+++ b/src/main/java/io/beryldock/idempotency/TicketRefusedException.java
@@ -3,7 +3,7 @@
 import io.beryldock.call.CallResult;
 import io.beryldock.call.Reason;
 
-/** No ticket was minted; the result tells the caller why and what to do. */
+/** Thrown when no ticket can be minted; the result holds the reason and the remedy for the caller. */
 public final class TicketRefusedException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/io/beryldock/idempotency/TicketRegistry.java
+++ b/src/main/java/io/beryldock/idempotency/TicketRegistry.java
@@ -14,9 +14,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All ticket tables that live at this node: its own, and those whole ones that stopped nodes handed over to it.
+ * All ticket tables held by this node: its own table and the tables adopted from stopped nodes.
  *
- * <p>Invariant: a table once handed over from here never comes back. Called on the control thread only.
+ * <p>Invariant: a table that was handed over from this node never returns to it. Called on the control thread only.
  */
 public final class TicketRegistry {
 
@@ -26,7 +26,7 @@
     private final RandomGenerator random;
     private final EventSink events;
     private final Map<TicketHome, TicketTable> adopted = new HashMap<>();
-    /** Who holds the tables that this node has handed over. */
+    /** Current holders of the tables that this node has handed over. */
     private final Map<TicketHome, TicketHome> successors = new HashMap<>();
 
     private TicketRegistry(
@@ -43,48 +43,52 @@
         return new TicketRegistry(self, settings, ticker, random, events);
     }
 
-    /** The table of tickets that this node mints. */
+    /** The table of the tickets minted by this node. */
     public TicketTable own() {
         return own;
     }
 
-    /** Tables that stopped nodes handed over. */
+    /** Tables adopted from stopped nodes. */
     public ImmutableList<TicketTable> adopted() {
         return ImmutableList.copyOf(adopted.values());
     }
 
-    /** The table that decides over the tickets of this home, when it lives here or lived here and is frozen. */
+    /** Table for the tickets of this home, if this node holds it or held it before it was frozen. */
     Optional<TicketTable> table(TicketHome home) {
         return own.home().equals(home) ? Optional.of(own) : Optional.ofNullable(adopted.get(home));
     }
 
-    /** Whether another table of this size may be adopted. */
+    /** Whether a table of this size can be adopted within the limits. */
     boolean hasRoom(int entries, long bytes) {
-        forgetEmpty();
-        long tickets = adopted.values().stream().mapToLong(TicketTable::size).sum();
-        long held = adopted.values().stream().mapToLong(TicketTable::bytes).sum();
-        return !own.frozen() && tickets + entries <= settings.maxTickets() && held + bytes <= settings.maxBytes();
+        removeEmptyTables();
+        long ticketsHeld =
+                adopted.values().stream().mapToLong(TicketTable::size).sum();
+        long bytesHeld = adopted.values().stream().mapToLong(TicketTable::bytes).sum();
+        return !own.frozen()
+                && ticketsHeld + entries <= settings.maxTickets()
+                && bytesHeld + bytes <= settings.maxBytes();
     }
 
-    private void forgetEmpty() {
+    private void removeEmptyTables() {
         adopted.values().forEach(TicketTable::expire);
         adopted.values().removeIf(table -> table.size() == 0 && !table.frozen());
     }
 
-    /** Takes over a whole table. */
+    /** Adopts a complete table. */
     void adopt(TicketTransfer transfer) {
-        boolean first = !own.frozen() && table(transfer.origin()).isEmpty();
-        Invariants.check(events, first, transfer.origin().toString(), "a table must be adopted once, by a live node");
+        boolean adoptable = !own.frozen() && table(transfer.origin()).isEmpty();
+        Invariants.check(
+                events, adoptable, transfer.origin().toString(), "a table must be adopted once, by a live node");
         adopted.put(transfer.origin(), TicketTable.adopt(transfer, settings, ticker, random, events));
     }
 
-    /** Tickets of all tables whose end is awaited. */
+    /** Number of tickets in flight, over all tables. */
     int inFlight() {
         return own.inFlight()
                 + adopted.values().stream().mapToInt(TicketTable::inFlight).sum();
     }
 
-    /** Freezes every table here, for ever, and gives what has to be handed over. */
+    /** Permanently freezes all tables of this node and returns their contents for handover. */
     List<TicketTransfer> freezeAll() {
         Invariants.check(events, !own.frozen(), own.home().toString(), "tables must be frozen and handed over once");
         List<TicketTransfer> transfers = new ArrayList<>();
@@ -93,17 +97,17 @@
         return transfers;
     }
 
-    /** Notes who holds a table now that was frozen here. */
-    void handedOver(TicketHome origin, TicketHome successor) {
+    /** Records the new holder of a table that was frozen at this node. */
+    void recordHandover(TicketHome origin, TicketHome successor) {
         successors.put(origin, successor);
     }
 
-    /** Who decides over the tickets of this home instead of this node. */
+    /** Home that took over the tickets of {@code home} from this node, if any. */
     Optional<TicketHome> successor(TicketHome home) {
         return Optional.ofNullable(successors.get(home));
     }
 
-    static CallResult unreachable() {
+    static CallResult homeUnreachable() {
         return CallResult.unknown(Reason.HOME_GONE, "no node that may decide over the ticket can be reached");
     }
 }
--- a/src/main/java/io/beryldock/idempotency/TicketScope.java
+++ b/src/main/java/io/beryldock/idempotency/TicketScope.java
@@ -2,7 +2,9 @@
 
 import java.util.Objects;
 
-/** Whose request a ticket stands for: fixed by the first presentation, for ever. Immutable. */
+/**
+ * Caller and request that a ticket is bound to; set when the ticket is first presented and never changed. Immutable.
+ */
 record TicketScope(CallerIdentity identity, RequestFingerprint fingerprint) {
 
     TicketScope {
--- a/src/main/java/io/beryldock/idempotency/TicketSettings.java
+++ b/src/main/java/io/beryldock/idempotency/TicketSettings.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * Bounds of a ticket table. Immutable.
+ * Limits of a ticket table. Immutable.
  *
- * <p>A node at its bounds mints no more rather than forget early.
+ * <p>At its limits a node mints no tickets; it does not discard entries before their time.
  *
- * @param maxTickets tickets held at once, whatever their state
- * @param maxBytes memory of tickets and kept answers; an answer that does not fit is passed on but not kept
- * @param unusedLifetime how long a ticket that nobody presented may still be dispatched
- * @param retention how long a ticket's end is kept after its last change
- * @param maxJoiners requests that may wait for one ticket at once
- * @param handoverPartBytes size of the parts in which a table is handed over
+ * @param maxTickets maximum number of tickets held, in any state
+ * @param maxBytes maximum memory of tickets and stored answers; an answer that does not fit is forwarded but not stored
+ * @param unusedLifetime time for which a ticket that has not been presented may still be dispatched
+ * @param retention time for which a ticket's outcome is kept after its last change
+ * @param maxJoiners maximum number of requests that wait for one ticket
+ * @param handoverPartBytes approximate size of the parts in which a table is handed over
  */
 public record TicketSettings(
         int maxTickets,
@@ -27,7 +27,7 @@
     private static final int DEFAULT_JOINERS = 100;
     private static final long DEFAULT_PART_BYTES = 256 << 10;
 
-    /** Half an hour for ended tickets, a quarter of an hour for unused ones. */
+    /** Keeps ended tickets for 30 minutes and unused ones for 15 minutes. */
     public static TicketSettings defaults() {
         return new TicketSettings(
                 DEFAULT_TICKETS,
--- a/src/main/java/io/beryldock/idempotency/TicketState.java
+++ b/src/main/java/io/beryldock/idempotency/TicketState.java
@@ -1,16 +1,16 @@
 package io.beryldock.idempotency;
 
-/** Where a ticket stands. The number is its form on the wire and never changes. */
+/** State of a ticket. The number is its wire representation and must not change. */
 enum TicketState {
-    /** Minted, not yet presented. */
+    /** Minted but not yet presented. */
     NEW(0),
-    /** Dispatched, the outcome is awaited. */
+    /** Dispatched; the outcome is pending. */
     IN_FLIGHT(1),
-    /** The answer is kept. */
+    /** Answered; the answer is stored. */
     ENDED(2),
-    /** Refused before it ran; will never run. */
+    /** Refused before it ran; it will never run. */
     CLOSED(3),
-    /** Dispatched, and nobody can say what became of it; an answer may still settle it. */
+    /** Dispatched with an unknown outcome; a late answer may still resolve it. */
     UNKNOWN(4);
 
     private final int number;
--- a/src/main/java/io/beryldock/idempotency/TicketTable.java
+++ b/src/main/java/io/beryldock/idempotency/TicketTable.java
@@ -17,12 +17,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The memory of one ticket home and the only place that decides over its tickets.
+ * State of all tickets of one home, and the only place where decisions about them are made.
  *
- * <p>Invariants: a ticket is dispatched at most once; after an outcome that nobody knows it is never dispatched again;
- * a ticket for which NOT_RUN was told is closed and never runs later; an answer goes only to the identity and the
- * request that the ticket was first presented with; a frozen table never decides again. A ticket is forgotten only when
- * its lifetime or retention is over, and what was forgotten is never dispatched. Called on the control thread only.
+ * <p>Invariants: a ticket is dispatched at most once and never again after an UNKNOWN outcome; a ticket for which
+ * NOT_RUN was reported is closed and never runs later; an answer is returned only to the identity and request with
+ * which the ticket was first presented; a frozen table makes no further decisions. A ticket is removed only after its
+ * lifetime or retention period, and a removed ticket is never dispatched. Called on the control thread only.
  */
 public final class TicketTable {
 
@@ -32,14 +32,14 @@
     private final RandomGenerator random;
     private final EventSink events;
     private final Map<Long, TicketEntry> entries = new HashMap<>();
-    /** Counters of unused tickets, the oldest first. */
+    /** Counters of unused tickets, oldest first. */
     private final Set<Long> unused = new LinkedHashSet<>();
-    /** Counters of ended, closed and unknown tickets, the one longest unchanged first. */
+    /** Counters of ended, closed and unknown tickets, ordered by last change, oldest first. */
     private final Set<Long> settled = new LinkedHashSet<>();
 
     private long lastCounter;
     private long bytes;
-    private boolean mints;
+    private boolean mintsTickets;
     private boolean frozen;
 
     private TicketTable(
@@ -51,15 +51,18 @@
         this.events = events;
     }
 
-    /** An empty table of this start of a node. */
+    /** Creates an empty table for this incarnation of the node. */
     public static TicketTable create(
             NodeDescriptor self, TicketSettings settings, Ticker ticker, RandomGenerator random, EventSink events) {
         TicketTable table = new TicketTable(TicketHome.of(self), settings, ticker, random, events);
-        table.mints = true;
+        table.mintsTickets = true;
         return table;
     }
 
-    /** The whole table of another home, which has frozen it for ever. It mints no tickets. */
+    /**
+     * Creates a table from the contents of another home's table, which that home has permanently frozen. It mints no
+     * tickets.
+     */
     static TicketTable adopt(
             TicketTransfer transfer, TicketSettings settings, Ticker ticker, RandomGenerator random, EventSink events) {
         TicketTable table = new TicketTable(transfer.origin(), settings, ticker, random, events);
@@ -72,9 +75,9 @@
         return home;
     }
 
-    /** Makes a ticket, or refuses when the table is full or frozen. */
+    /** Mints a ticket; throws if the table is full or frozen. */
     public TicketId mint() throws TicketRefusedException {
-        if (!mints || frozen) {
+        if (!mintsTickets || frozen) {
             throw new TicketRefusedException(Reason.DRAINING, "the node is stopping; ask another node for a ticket");
         }
         expire();
@@ -88,7 +91,7 @@
         return ticket;
     }
 
-    /** Forgets an unused ticket that was told to nobody and that no key is or can become bound to. */
+    /** Removes an unused ticket that was returned to no caller and that no key is or can become bound to. */
     void release(TicketId ticket) {
         TicketEntry entry = entries.get(ticket.counter());
         if (entry != null && entry.state() == TicketState.NEW) {
@@ -97,9 +100,9 @@
     }
 
     /**
-     * Decides over a keyed request.
+     * Decides how to handle a keyed request.
      *
-     * <p>The joiner is kept when the decision is Dispatch or Joined, and told by {@link #settled}.
+     * <p>The joiner is kept if the decision is Dispatch or Joined, and is called by {@link #recordResult}.
      */
     public TicketDecision present(
             TicketId ticket, CallerIdentity identity, RequestFingerprint fingerprint, Joiner joiner) {
@@ -112,7 +115,7 @@
         expire();
         TicketEntry entry = entries.get(ticket.counter());
         if (entry == null || entry.nonce() != ticket.nonce()) {
-            return refuse(absent(ticket, entry));
+            return refuse(missingTicketResult(ticket, entry));
         }
         TicketScope scope = new TicketScope(identity, fingerprint);
         if (entry.scope().isPresent() && !entry.scope().get().equals(scope)) {
@@ -130,16 +133,16 @@
             case ENDED:
                 return new TicketDecision.Replay(entry.result().orElseThrow());
             case CLOSED:
-                return refuse(closed());
+                return refuse(keyClosed());
             case UNKNOWN:
             default:
-                return new TicketDecision.Settle(entry.result().orElseThrow());
+                return new TicketDecision.Resolve(entry.result().orElseThrow());
         }
     }
 
     private TicketDecision dispatch(TicketId ticket, TicketEntry entry, TicketScope scope, Joiner joiner) {
-        boolean first = entry.state() == TicketState.NEW && unused.contains(ticket.counter()) && !frozen;
-        Invariants.check(events, first, ticket.toString(), "a ticket must be dispatched once and by its home only");
+        boolean allowed = entry.state() == TicketState.NEW && unused.contains(ticket.counter()) && !frozen;
+        Invariants.check(events, allowed, ticket.toString(), "a ticket must be dispatched once and by its home only");
         entry.dispatch(scope, ticker.nanos());
         unused.remove(ticket.counter());
         entry.joiners().add(joiner);
@@ -155,8 +158,8 @@
         return new TicketDecision.Joined();
     }
 
-    /** What is told of a ticket that the table does not hold. */
-    private CallResult absent(TicketId ticket, TicketEntry other) {
+    /** Result for a ticket that is not in the table. */
+    private CallResult missingTicketResult(TicketId ticket, TicketEntry other) {
         boolean neverMinted = other != null || Long.compareUnsigned(ticket.counter(), lastCounter) > 0;
         if (neverMinted) {
             return CallResult.notRun(Reason.BAD_REQUEST, "this node never gave out such a ticket");
@@ -164,41 +167,41 @@
         return CallResult.unknown(Reason.KEY_EXPIRED, "the ticket is forgotten and will not run any more");
     }
 
-    /** What is told of a key that was refused before and can therefore never run. */
-    static CallResult closed() {
+    /** Result for a key that was refused before and therefore never runs. */
+    static CallResult keyClosed() {
         return CallResult.notRun(
                 Reason.KEY_CLOSED, "it was refused earlier, ran nowhere and never will; send it under a new key");
     }
 
     /**
-     * Takes what became of a dispatched ticket, and tells the joiners.
+     * Records the result of a dispatched ticket and passes it to the joiners.
      *
-     * <p>A late answer settles a ticket whose outcome was unknown; otherwise the first end stands. A frozen table only
-     * tells its joiners: what it knew has been handed over.
+     * <p>A late answer resolves a ticket whose outcome was UNKNOWN; otherwise the first result is final. A frozen table
+     * only calls its joiners, because its state has already been handed over.
      */
-    public void settled(TicketId ticket, CallResult result) {
+    public void recordResult(TicketId ticket, CallResult result) {
         TicketEntry entry = entries.get(ticket.counter());
         if (entry == null || entry.nonce() != ticket.nonce()) {
             return;
         }
-        if (!frozen && (entry.state() == TicketState.IN_FLIGHT || settlesLate(entry, result))) {
-            end(ticket.counter(), entry, result);
+        if (!frozen && (entry.state() == TicketState.IN_FLIGHT || isLateAnswer(entry, result))) {
+            applyResult(ticket.counter(), entry, result);
         }
         List<Joiner> joiners = List.copyOf(entry.joiners());
         entry.joiners().clear();
-        joiners.forEach(joiner -> joiner.done(result));
+        joiners.forEach(joiner -> joiner.onResult(result));
     }
 
-    private static boolean settlesLate(TicketEntry entry, CallResult result) {
+    private static boolean isLateAnswer(TicketEntry entry, CallResult result) {
         return entry.state() == TicketState.UNKNOWN && result.outcome() == Outcome.ANSWERED;
     }
 
-    private void end(long counter, TicketEntry entry, CallResult result) {
+    private void applyResult(long counter, TicketEntry entry, CallResult result) {
         boolean dispatched = entry.state() != TicketState.NEW;
         Invariants.check(events, dispatched, home + " " + counter, "a ticket must be dispatched before it ends");
         bytes -= entry.bytes();
         switch (result.outcome()) {
-            case ANSWERED -> endAnswered(entry, result);
+            case ANSWERED -> applyAnswer(entry, result);
             case NOT_RUN -> entry.end(TicketState.CLOSED, Optional.empty(), ticker.nanos());
             case UNKNOWN -> entry.end(TicketState.UNKNOWN, Optional.of(result), ticker.nanos());
         }
@@ -207,19 +210,20 @@
         settled.add(counter);
     }
 
-    private void endAnswered(TicketEntry entry, CallResult result) {
+    private void applyAnswer(TicketEntry entry, CallResult result) {
         if (bytes + TicketEntry.BASE_BYTES + TicketEntry.sizeOf(result) <= settings.maxBytes()) {
             entry.end(TicketState.ENDED, Optional.of(result), ticker.nanos());
             return;
         }
-        CallResult told = CallResult.unknown(Reason.TICKETS_FULL, "it ran; its answer was too large to be kept");
-        entry.end(TicketState.UNKNOWN, Optional.of(told), ticker.nanos());
+        CallResult notStored = CallResult.unknown(Reason.TICKETS_FULL, "it ran; its answer was too large to be kept");
+        entry.end(TicketState.UNKNOWN, Optional.of(notStored), ticker.nanos());
     }
 
     /**
-     * Decides no more, for ever.
+     * Freezes the table permanently and returns its contents.
      *
-     * <p>What is still in flight is handed over as unknown: the successor can't know its end, so it must not dispatch.
+     * <p>Tickets still in flight are handed over as UNKNOWN: the successor cannot learn their outcome, so it must not
+     * dispatch them.
      */
     TicketTransfer freeze() {
         expire();
@@ -231,22 +235,22 @@
         return frozen;
     }
 
-    /** Tickets held. */
+    /** Number of tickets, in any state. */
     public int size() {
         return entries.size();
     }
 
-    /** Estimated memory of the tickets and answers held. */
+    /** Estimated memory of the tickets and stored answers, in bytes. */
     public long bytes() {
         return bytes;
     }
 
-    /** Tickets dispatched whose end is awaited. */
+    /** Number of dispatched tickets whose outcome is pending. */
     public int inFlight() {
         return entries.size() - unused.size() - settled.size();
     }
 
-    /** Forgets what is past its lifetime or retention. */
+    /** Removes tickets whose lifetime or retention period has passed. */
     void expire() {
         expire(unused, settings.unusedLifetime().toNanos());
         expire(settled, settings.retention().toNanos());
--- a/src/main/java/io/beryldock/idempotency/TicketTransfer.java
+++ b/src/main/java/io/beryldock/idempotency/TicketTransfer.java
@@ -13,39 +13,40 @@
 import java.util.Optional;
 
 /**
- * All that a frozen table held, on its way to the successor. Used on the control thread only.
+ * Contents of a frozen table, for transfer to the successor. Used on the control thread only.
  *
- * <p>Entries stand in the order of their last change, the oldest first. None is in flight.
+ * <p>Entries are ordered by their last change, oldest first. None is in flight.
  */
 record TicketTransfer(TicketHome origin, long lastCounter, ImmutableMap<Long, TicketEntry> entries) {
 
-    /** The contents of a table that was just frozen. */
+    /** Captures the contents of a frozen table; entries in flight become UNKNOWN. */
     static TicketTransfer of(TicketHome origin, long lastCounter, Map<Long, TicketEntry> entries) {
         ImmutableMap.Builder<Long, TicketEntry> builder = ImmutableMap.builder();
         entries.entrySet().stream()
                 .sorted(Comparator.comparingLong(entry -> entry.getValue().changedAt()))
-                .forEach(entry -> builder.put(entry.getKey(), settledOrUnknown(entry.getValue())));
+                .forEach(entry -> builder.put(entry.getKey(), inFlightToUnknown(entry.getValue())));
         return new TicketTransfer(origin, lastCounter, builder.buildOrThrow());
     }
 
-    /** The contents as they came, with nothing missing. */
-    static TicketTransfer whole(TicketHome origin, long lastCounter, Map<Long, TicketEntry> entries) {
+    /** Restores contents of which all parts have been received. */
+    static TicketTransfer ofParts(TicketHome origin, long lastCounter, Map<Long, TicketEntry> entries) {
         return new TicketTransfer(origin, lastCounter, ImmutableMap.copyOf(entries));
     }
 
-    private static TicketEntry settledOrUnknown(TicketEntry entry) {
+    private static TicketEntry inFlightToUnknown(TicketEntry entry) {
         if (entry.state() != TicketState.IN_FLIGHT) {
             return entry;
         }
-        CallResult told = CallResult.unknown(Reason.HOME_GONE, "it was in flight when its home stopped");
-        return new TicketEntry(entry.nonce(), TicketState.UNKNOWN, entry.scope(), Optional.of(told), entry.changedAt());
+        CallResult unknown = CallResult.unknown(Reason.HOME_GONE, "it was in flight when its home stopped");
+        return new TicketEntry(
+                entry.nonce(), TicketState.UNKNOWN, entry.scope(), Optional.of(unknown), entry.changedAt());
     }
 
     long bytes() {
         return entries.values().stream().mapToLong(TicketEntry::bytes).sum();
     }
 
-    /** The entries in parts of about that many bytes, at least one part. */
+    /** Splits the entries into parts of about {@code partBytes} bytes each; there is at least one part. */
     List<Map<Long, TicketEntry>> parts(long partBytes) {
         List<Map<Long, TicketEntry>> parts = new ArrayList<>();
         Map<Long, TicketEntry> part = new LinkedHashMap<>();
@@ -65,14 +66,14 @@
         return parts;
     }
 
-    /** One part as a message, with the ages that its entries have now. */
-    static List<WireTicketEntry> write(Map<Long, TicketEntry> part, long now) {
+    /** Encodes one part, with the ages of its entries at {@code now}. */
+    static List<WireTicketEntry> encode(Map<Long, TicketEntry> part, long now) {
         return part.entrySet().stream()
-                .map(entry -> write(entry.getKey(), entry.getValue(), now))
+                .map(entry -> encode(entry.getKey(), entry.getValue(), now))
                 .toList();
     }
 
-    private static WireTicketEntry write(long counter, TicketEntry entry, long now) {
+    private static WireTicketEntry encode(long counter, TicketEntry entry, long now) {
         WireTicketEntry.Builder wire = WireTicketEntry.newBuilder()
                 .setCounter(counter)
                 .setNonce(entry.nonce())
--- a/src/test/java/io/beryldock/idempotency/KeyShardTest.java
+++ b/src/test/java/io/beryldock/idempotency/KeyShardTest.java
@@ -31,36 +31,36 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 10, 50, 150})
-    void writesAreBoundedByTimeWhateverTheLoad(int ordersPerSecond) {
+    void writeRateIsBoundedUnderAnyLoad(int ordersPerSecond) {
         store.setFaults(StoreFaults.none().withDelay(Duration.ofMillis(4)));
         KeyShard shard = shard(SETTINGS, store);
         int seconds = 60;
-        List<CompletableFuture<BindResult>> told = new ArrayList<>();
+        List<CompletableFuture<BindResult>> results = new ArrayList<>();
         for (int i = 0; i < seconds * ordersPerSecond; i++) {
-            told.add(shard.bind(binding(), TIMEOUT));
+            results.add(shard.bind(binding(), TIMEOUT));
             timers.advance(Duration.ofSeconds(1).dividedBy(ordersPerSecond));
         }
         timers.advance(TIMEOUT);
-        assertThat(told).allMatch(future -> future.join() instanceof BindResult.Bound);
+        assertThat(results).allMatch(future -> future.join() instanceof BindResult.Bound);
         StoreCallCounts counts = store.counts();
         System.out.printf(
                 "one shard, %d keys/s: %.1f writes and %.1f reads per 1000 keys, %.2f writes/s%n",
                 ordersPerSecond,
-                1000.0 * counts.writes() / told.size(),
-                1000.0 * counts.reads() / told.size(),
+                1000.0 * counts.writes() / results.size(),
+                1000.0 * counts.reads() / results.size(),
                 counts.writes() / (double) seconds);
         long sealing = 2L;
-        assertThat(counts.writes()).isLessThanOrEqualTo(Math.min(told.size() + sealing, seconds * 5L + 1));
+        assertThat(counts.writes()).isLessThanOrEqualTo(Math.min(results.size() + sealing, seconds * 5L + 1));
         assertThat(counts.reads()).isEqualTo(1);
     }
 
     /**
-     * A shard gets more keys than its document may hold. The store would refuse the value and nothing could be bound
-     * for good; dropping the oldest keys instead would let an order run twice. New keys are refused until there is
-     * room.
+     * Guards against a shard that grows beyond the store's maximum value size, after which the store would reject every
+     * write and no further key could be bound. Dropping the oldest keys instead would let an order run twice, so new
+     * keys are refused until the next generation opens.
      */
     @Test
-    void fullDocumentRefusesKeysUntilItsTimeIsOver() {
+    void fullDocumentRefusesKeysUntilNextGeneration() {
         KeySettings small = withDocumentBytes(4_000);
         KeyShard shard = shard(small, store);
         int bound = 0;
@@ -75,9 +75,12 @@
         assertThat(bind(shard, binding())).isInstanceOf(BindResult.Bound.class);
     }
 
-    /** A key is kept at least as long as stated, though documents are written over one after the other. */
+    /**
+     * Guards against a key that is lost before its retention period ends because its document was overwritten, and
+     * against keys that are retained indefinitely.
+     */
     @Test
-    void keyIsKeptForTheStatedTimeAndNotForEver() {
+    void keyIsRetainedForTheRetentionPeriodOnly() {
         KeyShard shard = shard(SETTINGS, store);
         KeyBinding first = binding();
         bind(shard, first);
@@ -100,24 +103,24 @@
     }
 
     @Test
-    void documentOfAFullLoadFitsIntoTheStore() {
+    void documentAtMaximumSizeFitsIntoTheStore() {
         List<KeyBinding> bindings = new ArrayList<>();
         int count = 5_000;
         for (int i = 0; i < count; i++) {
             bindings.add(binding());
         }
-        KeyDocument document = KeyDocument.open(1, 0).with(bindings);
+        KeyDocument document = KeyDocument.open(1, 0).withBindings(bindings);
         int bytes = document.toBytes().size() / count;
-        System.out.printf("a binding whose home stands nowhere else in the document takes %d bytes%n", bytes);
+        System.out.printf("a binding whose home occurs nowhere else in the document takes %d bytes%n", bytes);
         assertThat(bytes).isLessThan(KeyShard.MAX_BINDING_BYTES);
         assertThat(SETTINGS.maxDocumentBytes() + KeyShard.MAX_BINDING_BYTES).isLessThan(PlatformStore.MAX_VALUE_BYTES);
         assertThat(bindings).allMatch(binding -> document.find(binding.key()).equals(Optional.of(binding)));
     }
 
-    private BindResult bind(KeyShard shard, KeyBinding wanted) {
-        CompletableFuture<BindResult> told = shard.bind(wanted, TIMEOUT);
+    private BindResult bind(KeyShard shard, KeyBinding proposal) {
+        CompletableFuture<BindResult> result = shard.bind(proposal, TIMEOUT);
         timers.advance(Duration.ofMillis(500));
-        return told.join();
+        return result.join();
     }
 
     private KeyBinding binding() {
@@ -125,7 +128,7 @@
         return new KeyBinding(key, new KeyScope(random.nextLong(), random.nextLong()), Optional.of(ticket()));
     }
 
-    /** A ticket of a home of its own, as at many entry nodes. */
+    /** A ticket of a distinct home, as when keys arrive at many entry nodes. */
     private TicketId ticket() {
         TicketHome home = TicketHome.of(KeyedFixtures.node("gent-a-lists-1", random.nextLong()));
         return new TicketId(home, random.nextInt(100_000), random.nextLong());
--- a/src/test/java/io/beryldock/idempotency/KeyedFixtures.java
+++ b/src/test/java/io/beryldock/idempotency/KeyedFixtures.java
@@ -18,7 +18,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** Values that tests of keyed requests share. */
+/** Values shared by the tests of keyed requests. */
 final class KeyedFixtures {
 
     static final CallerIdentity ANN = new CallerIdentity(hash("ann"));
@@ -37,7 +37,7 @@
         return CallResult.answered(new Answer(200, Headers.empty(), ByteString.copyFromUtf8(body)));
     }
 
-    /** An order under a key, as an attempt with that number. */
+    /** An order with a key, as the attempt with the given number. */
     static Call call(String key, long attempt) {
         RequestId id = new RequestId(new Incarnation(9, 9), attempt);
         CallContext context = new CallContext(id, id, PriorityClass.of("orders", 0), 1, 0, 0, 0, 0, false);
--- a/src/test/java/io/beryldock/idempotency/KeyedRequestScheduleTest.java
+++ b/src/test/java/io/beryldock/idempotency/KeyedRequestScheduleTest.java
@@ -11,22 +11,22 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Seeded runs of the real decision classes under crashes, pauses, lost, doubled, late and overtaking messages, cut
- * networks, planned stops and a failing store.
+ * Randomised runs of the production decision classes under crashes, pauses, network partitions, planned stops, store
+ * failures, and lost, duplicated, delayed and reordered messages.
  */
 final class KeyedRequestScheduleTest {
 
     private static final int SCHEDULES = 100_000;
-    /** A broken variant has to be caught within as many schedules. */
+    /** Number of schedules within which a broken variant must be detected. */
     private static final int BROKEN_SCHEDULES = 20_000;
 
     /**
-     * A library's order is placed twice and the university pays for books it never wanted; or a caller is told that its
-     * order did not run, and it did; or it reads another caller's answer. Each comes of some order of submissions at
-     * several nodes, lost or late messages and failures of nodes and store, which no single example covers.
+     * Guards against an order that runs twice, an order that runs although NOT_RUN was returned to its caller, and an
+     * answer that is returned to another caller. Each of these needs a particular interleaving of submissions at
+     * several nodes, lost or late messages, and failures of nodes and of the store, which single examples cannot cover.
      */
     @Test
-    void everyScheduleKeepsThePromises() {
+    void everyScheduleKeepsTheInvariants() {
         LongAdder answered = new LongAdder();
         LongAdder notRun = new LongAdder();
         LongAdder unknown = new LongAdder();
@@ -52,18 +52,19 @@
     }
 
     /**
-     * An order runs twice: its answer is lost and a retry goes to another target, a doubled message starts it again,
-     * two nodes bind its key after a lost answer of the store, or two successors of its home decide. A run that could
-     * not catch these would prove nothing.
+     * Verifies that the schedules detect an order that runs twice: after a lost answer a retry goes to another target,
+     * a duplicated message starts it again, two nodes bind its key after a lost answer of the store, or two successors
+     * of its home dispatch it. Without this check, a passing run would not show that the schedules can detect
+     * violations.
      */
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void catchesEachBrokenVariant(SimulatedFleet.Variant variant) {
-        Optional<String> caught = LongStream.range(0, BROKEN_SCHEDULES)
+    void detectsEachBrokenVariant(SimulatedFleet.Variant variant) {
+        Optional<String> detected = LongStream.range(0, BROKEN_SCHEDULES)
                 .parallel()
                 .mapToObj(seed -> new KeyedRequestSchedule(seed, variant).run())
                 .flatMap(Optional::stream)
                 .findAny();
-        assertThat(caught).isPresent();
+        assertThat(detected).isPresent();
     }
 }
--- a/src/test/java/io/beryldock/idempotency/NodeStore.java
+++ b/src/test/java/io/beryldock/idempotency/NodeStore.java
@@ -10,27 +10,32 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** The platform store as a node sees it: some calls are held up on the way, answers wait while the node is paused. */
+/**
+ * The platform store as seen by one node: some calls are delayed on the way, and answers wait while the node is paused.
+ */
 final class NodeStore implements PlatformStore {
 
     private final SimulatedNode node;
     private final PlatformStore store;
     private final SimulatedNetwork network;
     private final ManualTimerService time;
-    private final boolean trusting;
+    private final boolean assumeApplied;
 
-    /** A trusting node takes a write whose answer was lost for done. */
+    /**
+     * Creates the view of one node. If {@code assumeApplied} is set, a write with an unknown result is reported as
+     * applied.
+     */
     NodeStore(
             SimulatedNode node,
             PlatformStore store,
             SimulatedNetwork network,
             ManualTimerService time,
-            boolean trusting) {
+            boolean assumeApplied) {
         this.node = node;
         this.store = store;
         this.network = network;
         this.time = time;
-        this.trusting = trusting;
+        this.assumeApplied = assumeApplied;
     }
 
     @Override
@@ -41,9 +46,9 @@
     @Override
     public CompletableFuture<WriteResult> compareAndSet(String key, long expectedVersion, ByteString value) {
         return atNode(() -> store.compareAndSet(key, expectedVersion, value))
-                .thenApply(result -> trusting && result.kind() == WriteResult.Kind.UNKNOWN
+                .thenApply(written -> assumeApplied && written.kind() == WriteResult.Kind.UNKNOWN
                         ? WriteResult.applied(expectedVersion + 1)
-                        : result);
+                        : written);
     }
 
     @Override
@@ -57,23 +62,23 @@
     }
 
     private <T> CompletableFuture<T> atNode(Supplier<CompletableFuture<T>> call) {
-        CompletableFuture<T> seen = new CompletableFuture<>();
+        CompletableFuture<T> result = new CompletableFuture<>();
         if (network.chance(20)) {
-            time.after(network.delay(), () -> answer(call.get(), seen));
+            time.after(network.delay(), () -> answer(call.get(), result));
         } else {
-            answer(call.get(), seen);
+            answer(call.get(), result);
         }
-        return seen;
+        return result;
     }
 
-    private <T> void answer(CompletableFuture<T> answer, CompletableFuture<T> seen) {
-        FutureCallbacks.onEnd(
+    private <T> void answer(CompletableFuture<T> answer, CompletableFuture<T> result) {
+        FutureCallbacks.onComplete(
                 answer,
                 (value, failure) -> node.post(() -> {
                     if (failure == null) {
-                        seen.complete(value);
+                        result.complete(value);
                     } else {
-                        seen.completeExceptionally(failure);
+                        result.completeExceptionally(failure);
                     }
                 }));
     }
--- a/src/test/java/io/beryldock/idempotency/RunGuardTest.java
+++ b/src/test/java/io/beryldock/idempotency/RunGuardTest.java
@@ -13,20 +13,23 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Tests of {@link RunGuard} and {@link AnswerMemory}. */
+/** Tests of {@link RunGuard} and {@link KeyedRunTable}. */
 final class RunGuardTest {
 
     private static final TicketSettings SETTINGS =
             new TicketSettings(2, 2_000, Duration.ofMinutes(1), Duration.ofMinutes(10), 2, 1_000);
 
     private final ManualTimerService timers = ManualTimerService.create();
-    private final AnswerMemory memory = AnswerMemory.create(SETTINGS, timers.ticker());
-    private final RunGuard guard = RunGuard.create(memory);
+    private final KeyedRunTable runTable = KeyedRunTable.create(SETTINGS, timers.ticker());
+    private final RunGuard guard = RunGuard.create(runTable);
     private final List<CompletableFuture<CallResult>> runs = new ArrayList<>();
 
-    /** The network delivers an order to the target's node twice; both copies must give the one run's answer. */
+    /**
+     * Guards against a second run when the network delivers an order to the target's node twice: both copies must get
+     * the answer of the single run.
+     */
     @Test
-    void doubledMessageJoinsTheRun() {
+    void duplicateMessageJoinsTheRun() {
         Call call = KeyedFixtures.call("t1", 1);
         CompletableFuture<CallResult> first = run(call);
         CompletableFuture<CallResult> second = run(call);
@@ -37,8 +40,9 @@
     }
 
     /**
-     * A target's node sheds an order, the home tries another target and tells NOT_RUN in the end. A copy of the first
-     * message comes late, when the target has room again, and would run an order that was told not to have run.
+     * Guards against an order that runs after NOT_RUN was returned to its caller. The target's node sheds the order,
+     * the home tries another target and finally returns NOT_RUN; a delayed copy of the first message arrives when the
+     * target has free slots again.
      */
     @Test
     void refusedAttemptStaysRefusedWhileAnotherAttemptMayStart() {
@@ -52,24 +56,25 @@
     }
 
     @Test
-    void answerIsFoundByItsCallerOnlyAndForTheRetention() {
+    void answerIsFoundByItsCallerOnlyAndUntilRetentionEnds() {
         Call call = KeyedFixtures.call("t1", 1);
         run(call);
         CallResult answer = KeyedFixtures.answer("done");
         TicketScope scope = new TicketScope(KeyedFixtures.ANN, RequestFingerprint.of(call));
-        TicketScope stranger = new TicketScope(KeyedFixtures.BOB, RequestFingerprint.of(call));
-        CompletableFuture<?> whileRunning = memory.find("t1", scope);
+        TicketScope otherCaller = new TicketScope(KeyedFixtures.BOB, RequestFingerprint.of(call));
+        CompletableFuture<?> whileRunning = runTable.find("t1", scope);
         runs.get(0).complete(answer);
-        assertThat(whileRunning.join()).isEqualTo(memory.find("t1", scope).join());
-        assertThat(memory.find("t1", scope).join()).contains(answer);
-        assertThat(memory.find("t1", stranger).join().orElseThrow().reason()).contains(Reason.KEY_IN_USE);
+        assertThat(whileRunning.join()).isEqualTo(runTable.find("t1", scope).join());
+        assertThat(runTable.find("t1", scope).join()).contains(answer);
+        assertThat(runTable.find("t1", otherCaller).join().orElseThrow().reason())
+                .contains(Reason.KEY_IN_USE);
         timers.advance(SETTINGS.retention());
         run(KeyedFixtures.call("t2", 2));
-        assertThat(memory.find("t1", scope).join()).isEmpty();
+        assertThat(runTable.find("t1", scope).join()).isEmpty();
     }
 
     @Test
-    void lateAnswerTakesThePlaceOfAnUnknownEnd() {
+    void lateAnswerReplacesUnknownResult() {
         Call call = KeyedFixtures.call("t1", 1);
         run(call);
         runs.get(0).complete(CallResult.unknown(Reason.TIMED_OUT, ""));
@@ -80,7 +85,7 @@
     }
 
     @Test
-    void fullMemoryRefusesAndRemembersItAsLongAsItCan() {
+    void fullTableRefusesAndRecordsRefusalsWhileSpaceLasts() {
         run(KeyedFixtures.call("t1", 1));
         run(KeyedFixtures.call("t2", 2));
         Call third = KeyedFixtures.call("t3", 3);
--- a/src/test/java/io/beryldock/idempotency/SimulatedFleet.java
+++ b/src/test/java/io/beryldock/idempotency/SimulatedFleet.java
@@ -36,7 +36,10 @@
 import java.util.concurrent.CompletionException;
 import java.util.function.Consumer;
 
-/** A few nodes with the real decision classes, on one clock, one seed, and a network, store and targets that fail. */
+/**
+ * A few nodes with the production decision classes that share one clock and one seed, with a network, a store and
+ * targets that fail.
+ */
 final class SimulatedFleet {
 
     private static final ServiceName SERVICE = ServiceName.of("orders");
@@ -48,7 +51,10 @@
     private static final String KEY_HEADER = "X-Key";
     private static final TicketSettings TICKETS =
             new TicketSettings(MAX_TICKETS, 100_000, Duration.ofSeconds(15), Duration.ofSeconds(20), 4, 1);
-    /** Generations change with almost every key, and there are more of them than keys, so that none is written over. */
+    /**
+     * A new generation is opened for almost every key. There are more generations than keys, so that none is
+     * overwritten.
+     */
     private static final KeySettings KEYS = new KeySettings(
             "keys/",
             1,
@@ -59,16 +65,16 @@
             Duration.ofSeconds(2),
             900_000);
 
-    /** Ways to break the protocol deliberately, at the edges of the real classes. */
+    /** Deliberate violations of the protocol, injected at the interfaces of the production classes. */
     enum Variant {
         NONE,
-        /** An attempt whose outcome is unknown is followed by another one. */
+        /** An attempt with an unknown outcome is retried. */
         DISPATCH_AFTER_UNKNOWN,
-        /** The target's node runs whatever arrives. */
+        /** The target's node runs every message that arrives. */
         NO_RUN_GUARD,
-        /** A write whose answer was lost is taken for done. */
+        /** A write whose answer was lost is assumed to be applied. */
         NO_READ_BACK,
-        /** A successor takes the first part of a table for the whole. */
+        /** A successor treats the first part of a table as the whole table. */
         EARLY_SUCCESSOR
     }
 
@@ -80,7 +86,7 @@
     private final InMemoryPlatformStore store;
     private final RequestIds ids = RequestIds.of(new Incarnation(1, 1));
     private final SimulatedNode[] nodes = new SimulatedNode[NODES];
-    private final Map<Incarnation, SimulatedNode> starts = new HashMap<>();
+    private final Map<Incarnation, SimulatedNode> nodesByIncarnation = new HashMap<>();
     private long incarnations;
 
     SimulatedFleet(long seed, Variant variant) {
@@ -93,7 +99,7 @@
         }
         Directory directory = directory();
         for (SimulatedNode node : nodes) {
-            node.see(directory);
+            node.updateView(directory);
         }
     }
 
@@ -117,11 +123,11 @@
         return nodes[index];
     }
 
-    int anyNode() {
+    int randomNode() {
         return random.nextInt(NODES);
     }
 
-    void at(long millis, Runnable task) {
+    void schedule(long millis, Runnable task) {
         time.after(Duration.ofMillis(millis), task);
     }
 
@@ -129,7 +135,7 @@
         time.advance(length);
     }
 
-    /** Starts a node anew; whatever ran under its id before is dead. */
+    /** Restarts a node; everything that ran under its id before is terminated. */
     void start(int index) {
         if (nodes[index] != null) {
             nodes[index].crash();
@@ -149,10 +155,10 @@
                         ledger.check(kind != EventKind.INVARIANT_BROKEN, subject + " " + detail));
         node.start(KeyedRequests.create(ports, TICKETS, KEYS));
         nodes[index] = node;
-        starts.put(descriptor.incarnation(), node);
+        nodesByIncarnation.put(descriptor.incarnation(), node);
         for (SimulatedNode other : nodes) {
             if (other != null) {
-                time.after(network.delay(), () -> other.see(directory()));
+                time.after(network.delay(), () -> other.updateView(directory()));
             }
         }
     }
@@ -175,12 +181,12 @@
             SimulatedNode from, NodeDescriptor to, WireTicketRequest request, Duration timeout) {
         return network.request(
                 from,
-                starts.get(to.incarnation()),
+                nodesByIncarnation.get(to.incarnation()),
                 timeout,
-                (node, reply) -> node.keyed().handler().handle(message(delivered(request), reply)));
+                (node, reply) -> node.keyed().handler().handle(message(applyVariant(request), reply)));
     }
 
-    private WireTicketRequest delivered(WireTicketRequest request) {
+    private WireTicketRequest applyVariant(WireTicketRequest request) {
         if (variant != Variant.EARLY_SUCCESSOR || !request.hasOffer()) {
             return request;
         }
@@ -214,7 +220,7 @@
         };
     }
 
-    /** Stands for the forwarder: sheds at times, tries another target after a sure refusal only. */
+    /** Stands in for the forwarder: sheds some requests, and tries another target only after a definite refusal. */
     private CompletableFuture<CallResult> dispatch(SimulatedNode home, Call call, CallerIdentity identity, int tries) {
         List<TargetRecord> targets = home.view().targetsOf(SERVICE);
         if (targets.isEmpty() || network.chance(3)) {
@@ -225,14 +231,14 @@
         Duration timeout = Duration.ofMillis(network.chance(20) ? 3 * CALL_MILLIS : CALL_MILLIS);
         return network.<CallResult>request(
                         home,
-                        starts.get(target.node().incarnation()),
+                        nodesByIncarnation.get(target.node().incarnation()),
                         timeout,
                         (node, reply) -> execute(node, attempt, identity, reply))
                 .exceptionally(SimulatedFleet::classify)
                 .thenCompose(result -> {
-                    boolean again = result.outcome() == Outcome.NOT_RUN
+                    boolean retry = result.outcome() == Outcome.NOT_RUN
                             || (result.outcome() == Outcome.UNKNOWN && variant == Variant.DISPATCH_AFTER_UNKNOWN);
-                    return again && tries > 1
+                    return retry && tries > 1
                             ? dispatch(home, call, identity, tries - 1)
                             : CompletableFuture.completedFuture(result);
                 });
@@ -248,7 +254,7 @@
         CompletableFuture<CallResult> result = variant == Variant.NO_RUN_GUARD
                 ? runAtTarget(node, call, identity)
                 : node.keyed().guard().run(call, identity, () -> runAtTarget(node, call, identity));
-        FutureCallbacks.onEnd(result, (value, failure) -> reply.accept(value));
+        FutureCallbacks.onComplete(result, (value, failure) -> reply.accept(value));
     }
 
     private CompletableFuture<CallResult> runAtTarget(SimulatedNode node, Call call, CallerIdentity identity) {
@@ -258,7 +264,7 @@
             return end;
         }
         node.after(network.delay(), () -> {
-            ledger.ran(call.headers().first(KEY_HEADER).orElseThrow());
+            ledger.recordRun(call.headers().first(KEY_HEADER).orElseThrow());
             boolean lost = network.chance(5);
             CallResult result = lost
                     ? CallResult.unknown(Reason.CONNECTION_LOST, "")
@@ -274,7 +280,7 @@
                 + identity.equals(KeyedFixtures.ANN);
     }
 
-    /** A caller sends the keyed request to the node, which may be the first or any later time. */
+    /** Submits the keyed request at the node; this may be its first submission or a retry. */
     void submit(SimulatedNode entry, String key, CallerIdentity identity, String body) {
         Headers headers = Headers.empty().with(KEY_HEADER, key);
         RequestId id = ids.next();
@@ -299,13 +305,13 @@
                 false,
                 Optional.of(key),
                 context);
-        entry.post(() -> FutureCallbacks.onEnd(
+        entry.post(() -> FutureCallbacks.onComplete(
                 entry.keyed().coordinator().handle(call, identity),
-                (result, failure) -> ledger.told(key, expectedAnswer(call, identity), result)));
+                (result, failure) -> ledger.recordResult(key, expectedAnswer(call, identity), result)));
     }
 
-    /** Faults of the store, as one node of many sees them. */
-    void breakStore(Duration length) {
+    /** Injects a random fault into the store for the given time. */
+    void injectStoreFault(Duration length) {
         StoreFaults faults =
                 switch (random.nextInt(4)) {
                     case 0 -> StoreFaults.none().withDown(true);
--- a/src/test/java/io/beryldock/idempotency/SimulatedNetwork.java
+++ b/src/test/java/io/beryldock/idempotency/SimulatedNetwork.java
@@ -10,40 +10,43 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Requests between nodes of a seeded run, which may be lost, doubled, held up, overtaken or cut off. */
+/**
+ * Simulated network between the nodes of a randomised run; messages may be lost, duplicated, delayed, reordered or
+ * blocked by a partition.
+ */
 final class SimulatedNetwork {
 
     private static final int LONG_DELAY_MILLIS = 4_000;
 
     private final ManualTimerService time;
     private final Random random;
-    private final Set<String> cut = new HashSet<>();
-    private boolean calm;
+    private final Set<String> blockedLinks = new HashSet<>();
+    private boolean faultsDisabled;
 
     SimulatedNetwork(ManualTimerService time, Random random) {
         this.time = time;
         this.random = random;
     }
 
-    void cut(String one, String other, Duration length) {
-        cut.add(one + other);
-        cut.add(other + one);
-        time.after(length, () -> cut.remove(one + other));
-        time.after(length, () -> cut.remove(other + one));
+    void partition(String one, String other, Duration length) {
+        blockedLinks.add(one + other);
+        blockedLinks.add(other + one);
+        time.after(length, () -> blockedLinks.remove(one + other));
+        time.after(length, () -> blockedLinks.remove(other + one));
     }
 
-    private boolean isCut(SimulatedNode from, SimulatedNode to) {
-        return cut.contains(
+    private boolean isBlocked(SimulatedNode from, SimulatedNode to) {
+        return blockedLinks.contains(
                 from.descriptor().id().value() + to.descriptor().id().value());
     }
 
-    /** From now on nothing happens by chance. */
-    void calm() {
-        calm = true;
+    /** Disables all random faults from now on. */
+    void disableFaults() {
+        faultsDisabled = true;
     }
 
     boolean chance(int percent) {
-        return !calm && random.nextInt(100) < percent;
+        return !faultsDisabled && random.nextInt(100) < percent;
     }
 
     Duration delay() {
@@ -51,11 +54,11 @@
         return Duration.ofMillis(millis);
     }
 
-    /** Delivers a request to the very start of the node that it is meant for, and the reply to the sender. */
+    /** Delivers a request to the given incarnation of a node, and the reply to the sender. */
     <T> CompletableFuture<T> request(
             SimulatedNode from, SimulatedNode to, Duration timeout, BiConsumer<SimulatedNode, Consumer<T>> deliver) {
         CompletableFuture<T> reply = new CompletableFuture<>();
-        if ((to.dead() || isCut(from, to)) && chance(50)) {
+        if ((to.dead() || isBlocked(from, to)) && chance(50)) {
             fail(from, reply, PeerException.Kind.NOT_SENT, Duration.ofMillis(1));
             return reply;
         }
@@ -75,11 +78,11 @@
             SimulatedNode to,
             BiConsumer<SimulatedNode, Consumer<T>> deliver,
             CompletableFuture<T> reply) {
-        if (isCut(from, to)) {
+        if (isBlocked(from, to)) {
             return;
         }
         to.post(() -> deliver.accept(to, value -> {
-            if (!chance(5) && !isCut(from, to) && !to.dead()) {
+            if (!chance(5) && !isBlocked(from, to) && !to.dead()) {
                 time.after(delay(), () -> from.post(() -> reply.complete(value)));
             }
         }));
--- a/src/test/java/io/beryldock/idempotency/SimulatedNode.java
+++ b/src/test/java/io/beryldock/idempotency/SimulatedNode.java
@@ -14,7 +14,8 @@
 import java.util.Random;
 
 /**
- * One start of a node in a seeded run: its tasks run in order, wait while it is paused and are lost once it is dead.
+ * One incarnation of a node in a randomised run. Its tasks run in order, wait while the node is paused and are dropped
+ * after it has crashed.
  */
 final class SimulatedNode implements TimerService {
 
@@ -22,7 +23,7 @@
     private final ManualTimerService time;
     private final Random random;
     private final Deque<Runnable> queue = new ArrayDeque<>();
-    private final List<Runnable> held = new ArrayList<>();
+    private final List<Runnable> deferred = new ArrayList<>();
     private Directory view = Directory.empty();
     private KeyedRequests keyed;
     private boolean running;
@@ -51,7 +52,7 @@
         return view;
     }
 
-    void see(Directory directory) {
+    void updateView(Directory directory) {
         view = directory;
     }
 
@@ -64,7 +65,7 @@
             return;
         }
         if (paused) {
-            held.add(task);
+            deferred.add(task);
             return;
         }
         queue.add(task);
@@ -86,14 +87,14 @@
         dead = true;
     }
 
-    /** Stops everything at the node for a while; what came meanwhile is handled then, in any order. */
+    /** Suspends the node; tasks that arrive meanwhile run afterwards, in random order. */
     void pause(Duration length) {
         paused = true;
         time.after(length, () -> {
             paused = false;
-            Collections.shuffle(held, random);
-            List<Runnable> tasks = List.copyOf(held);
-            held.clear();
+            Collections.shuffle(deferred, random);
+            List<Runnable> tasks = List.copyOf(deferred);
+            deferred.clear();
             tasks.forEach(this::post);
         });
     }
--- a/src/test/java/io/beryldock/idempotency/TicketIdTest.java
+++ b/src/test/java/io/beryldock/idempotency/TicketIdTest.java
@@ -18,7 +18,7 @@
 final class TicketIdTest {
 
     @Property(tries = 200)
-    void textReadsBack(
+    void textFormRoundTrips(
             @ForAll @AlphaChars @Chars({'.', '-', '_'}) @StringLength(min = 1, max = 30) String name,
             @ForAll long high,
             @ForAll long counter,
--- a/src/test/java/io/beryldock/idempotency/TicketReceiverTest.java
+++ b/src/test/java/io/beryldock/idempotency/TicketReceiverTest.java
@@ -37,38 +37,39 @@
     }
 
     @Test
-    void adoptsATableOnceEveryPartIsHere() {
-        assertThat(receiver.offered(offer()).getAccepted()).isTrue();
-        assertThat(receiver.received(part(1)).getAccepted()).isTrue();
+    void adoptsTableAfterAllPartsArrived() {
+        assertThat(receiver.handleOffer(offer()).getAccepted()).isTrue();
+        assertThat(receiver.handlePart(part(1)).getAccepted()).isTrue();
         assertThat(tickets.adopted()).isEmpty();
-        assertThat(receiver.received(part(0)).getAccepted()).isTrue();
+        assertThat(receiver.handlePart(part(0)).getAccepted()).isTrue();
         assertThat(tickets.adopted()).hasSize(1);
-        assertThat(receiver.received(part(0)).getAccepted()).isTrue();
+        assertThat(receiver.handlePart(part(0)).getAccepted()).isTrue();
         assertThat(tickets.adopted()).hasSize(1);
     }
 
     /**
-     * A node is too slow and refuses the last part of a table, whose home then hands it to another node. Doubled copies
-     * of all the messages come after that, and the table would live at two nodes that both dispatch its orders.
+     * Guards against a table that is held by two nodes, both of which would dispatch its orders. A slow successor
+     * refuses the last part, the home hands the table to another node, and then duplicates of all messages reach the
+     * first successor.
      */
     @Test
-    void refusesForEverWhatItRefusedOnce() {
-        receiver.offered(offer());
-        receiver.received(part(0));
-        timers.advance(TicketReceiver.LIMIT.plus(Duration.ofSeconds(1)));
-        assertThat(receiver.received(part(1)).getAccepted()).isFalse();
-        assertThat(receiver.offered(offer()).getAccepted()).isFalse();
-        assertThat(receiver.received(part(0)).getAccepted()).isFalse();
-        assertThat(receiver.received(part(1)).getAccepted()).isFalse();
+    void refusedTableStaysRefused() {
+        receiver.handleOffer(offer());
+        receiver.handlePart(part(0));
+        timers.advance(TicketReceiver.TRANSFER_TIMEOUT.plus(Duration.ofSeconds(1)));
+        assertThat(receiver.handlePart(part(1)).getAccepted()).isFalse();
+        assertThat(receiver.handleOffer(offer()).getAccepted()).isFalse();
+        assertThat(receiver.handlePart(part(0)).getAccepted()).isFalse();
+        assertThat(receiver.handlePart(part(1)).getAccepted()).isFalse();
         assertThat(tickets.adopted()).isEmpty();
     }
 
     @Test
-    void refusesTablesOnceItIsStoppingItself() {
-        receiver.offered(offer());
-        receiver.received(part(0));
+    void refusesTablesWhileStopping() {
+        receiver.handleOffer(offer());
+        receiver.handlePart(part(0));
         tickets.freezeAll();
-        assertThat(receiver.received(part(1)).getAccepted()).isFalse();
+        assertThat(receiver.handlePart(part(1)).getAccepted()).isFalse();
         assertThat(tickets.adopted()).isEmpty();
     }
 
@@ -91,7 +92,7 @@
                 .setSuccessorLow(SELF.incarnation().low())
                 .setNumber(number)
                 .addAllEntries(
-                        TicketTransfer.write(parts.get(number), timers.ticker().nanos()))
+                        TicketTransfer.encode(parts.get(number), timers.ticker().nanos()))
                 .build();
     }
 }
--- a/src/test/java/io/beryldock/idempotency/TicketTableTest.java
+++ b/src/test/java/io/beryldock/idempotency/TicketTableTest.java
@@ -27,7 +27,7 @@
     private final ManualTimerService timers = ManualTimerService.create();
     private final TicketTable table = TicketTable.create(
             KeyedFixtures.node("home", 1), SETTINGS, timers.ticker(), new Random(1), EventSink.none());
-    private final List<CallResult> told = new ArrayList<>();
+    private final List<CallResult> results = new ArrayList<>();
 
     @Test
     void dispatchesOnceJoinsInFlightAndReplaysTheAnswer() throws TicketRefusedException {
@@ -35,57 +35,58 @@
         assertThat(present(ticket)).isInstanceOf(TicketDecision.Dispatch.class);
         assertThat(present(ticket)).isInstanceOf(TicketDecision.Joined.class);
         CallResult answer = KeyedFixtures.answer("ordered");
-        table.settled(ticket, answer);
-        assertThat(told).containsExactly(answer, answer);
+        table.recordResult(ticket, answer);
+        assertThat(results).containsExactly(answer, answer);
         assertThat(present(ticket)).isEqualTo(new TicketDecision.Replay(answer));
     }
 
     /**
-     * A library's order times out, its caller sends it again and it is ordered twice. The first run's outcome was not
-     * known when the second submission came, and a home that dispatches then runs it twice.
+     * Guards against an order that runs twice: its first run times out with an unknown outcome, the caller retries, and
+     * the home dispatches the ticket again.
      */
     @Test
-    void neverDispatchesAgainAfterUnknownAndTakesALateAnswer() throws TicketRefusedException {
+    void neverDispatchesAgainAfterUnknownAndAcceptsLateAnswer() throws TicketRefusedException {
         TicketId ticket = table.mint();
         present(ticket);
-        table.settled(ticket, CallResult.unknown(Reason.TIMED_OUT, ""));
-        assertThat(present(ticket)).isInstanceOf(TicketDecision.Settle.class);
+        table.recordResult(ticket, CallResult.unknown(Reason.TIMED_OUT, ""));
+        assertThat(present(ticket)).isInstanceOf(TicketDecision.Resolve.class);
         CallResult late = KeyedFixtures.answer("late");
-        table.settled(ticket, late);
+        table.recordResult(ticket, late);
         assertThat(present(ticket)).isEqualTo(new TicketDecision.Replay(late));
     }
 
     /**
-     * A caller is told that its order was not run and orders anew under another key. A copy of the first submission
-     * that was held up at another node arrives after that and runs as well, so the books come twice.
+     * Guards against an order that runs after NOT_RUN was returned: the caller orders again under another key, and then
+     * a delayed copy of the first submission arrives.
      */
     @Test
-    void closesATicketForWhichNotRunWasTold() throws TicketRefusedException {
+    void closesTicketAfterNotRun() throws TicketRefusedException {
         TicketId ticket = table.mint();
         present(ticket);
-        table.settled(ticket, CallResult.notRun(Reason.SHED_AT_DOOR, ""));
+        table.recordResult(ticket, CallResult.notRun(Reason.SHED_AT_DOOR, ""));
         assertThat(outcome(present(ticket))).isEqualTo(Outcome.NOT_RUN);
-        table.settled(ticket, KeyedFixtures.answer("impossible"));
+        table.recordResult(ticket, KeyedFixtures.answer("impossible"));
         assertThat(outcome(present(ticket))).isEqualTo(Outcome.NOT_RUN);
     }
 
-    /** A caller guesses or copies another's ticket and would read the other's answer. */
+    /** Guards against a caller that guesses or copies another caller's ticket and reads that caller's answer. */
     @Test
-    void givesAnAnswerToItsCallerAndRequestOnly() throws TicketRefusedException {
+    void returnsAnswerToItsCallerAndRequestOnly() throws TicketRefusedException {
         TicketId ticket = table.mint();
         present(ticket);
-        table.settled(ticket, KeyedFixtures.answer("for ann"));
-        assertThat(reason(table.present(ticket, BOB, ORDER, told::add))).isEqualTo(Reason.KEY_IN_USE);
-        assertThat(reason(table.present(ticket, ANN, OTHER_ORDER, told::add))).isEqualTo(Reason.KEY_IN_USE);
+        table.recordResult(ticket, KeyedFixtures.answer("for ann"));
+        assertThat(reason(table.present(ticket, BOB, ORDER, results::add))).isEqualTo(Reason.KEY_IN_USE);
+        assertThat(reason(table.present(ticket, ANN, OTHER_ORDER, results::add)))
+                .isEqualTo(Reason.KEY_IN_USE);
         TicketId guessed = new TicketId(ticket.home(), ticket.counter(), ticket.nonce() + 1);
         assertThat(outcome(present(guessed))).isEqualTo(Outcome.NOT_RUN);
     }
 
     @Test
-    void refusesToMintRatherThanForgetEarly() throws TicketRefusedException {
+    void refusesToMintInsteadOfRemovingTicketsEarly() throws TicketRefusedException {
         TicketId first = table.mint();
         present(first);
-        table.settled(first, KeyedFixtures.answer("kept"));
+        table.recordResult(first, KeyedFixtures.answer("kept"));
         table.mint();
         table.mint();
         assertThatThrownBy(table::mint).isInstanceOf(TicketRefusedException.class);
@@ -98,16 +99,16 @@
     }
 
     @Test
-    void keepsNoAnswerThatDoesNotFitAndSaysUnknown() throws TicketRefusedException {
+    void doesNotStoreOversizedAnswerAndReportsUnknown() throws TicketRefusedException {
         TicketId ticket = table.mint();
         present(ticket);
-        table.settled(ticket, KeyedFixtures.answer("x".repeat(20_000)));
-        assertThat(told).hasSize(1).allMatch(result -> result.outcome() == Outcome.ANSWERED);
-        assertThat(present(ticket)).isInstanceOf(TicketDecision.Settle.class);
+        table.recordResult(ticket, KeyedFixtures.answer("x".repeat(20_000)));
+        assertThat(results).hasSize(1).allMatch(result -> result.outcome() == Outcome.ANSWERED);
+        assertThat(present(ticket)).isInstanceOf(TicketDecision.Resolve.class);
     }
 
     @Test
-    void decidesNothingOnceFrozen() throws TicketRefusedException {
+    void frozenTableMakesNoDecisions() throws TicketRefusedException {
         TicketId ticket = table.mint();
         table.freeze();
         assertThat(outcome(present(ticket))).isEqualTo(Outcome.UNKNOWN);
@@ -115,7 +116,7 @@
     }
 
     private TicketDecision present(TicketId ticket) {
-        return table.present(ticket, ANN, ORDER, told::add);
+        return table.present(ticket, ANN, ORDER, results::add);
     }
 
     private static Outcome outcome(TicketDecision decision) {
