--- a/src/main/java/io/beryldock/forwarding/LifeSign.java
+++ b/src/main/java/io/beryldock/forwarding/LifeSign.java
@@ -1,6 +1,6 @@
 package io.beryldock.forwarding;
 
-/** What this node knows of the state of a process of the target. */
+/** The state of a target process, as far as this node knows it. */
 public enum LifeSign {
     /** The process that ran at the start of the exchange still runs. */
     GOES_ON,
--- a/src/main/java/io/beryldock/forwarding/RefusalSummary.java
+++ b/src/main/java/io/beryldock/forwarding/RefusalSummary.java
@@ -43,8 +43,7 @@
 
     private record Cause(Outcome outcome, Reason reason, ServiceName service, int rank, String detail) {
 
-        // Written by hand: the C1 compiler of the nodes does not inline a record's generated equals, an invokedynamic
-        // call.
+        // Written by hand: the nodes' C1 compiler does not inline a record's generated equals, an invokedynamic call.
         @Override
         public boolean equals(Object other) {
             return other instanceof Cause that
--- a/src/main/java/io/beryldock/forwarding/RootAdmission.java
+++ b/src/main/java/io/beryldock/forwarding/RootAdmission.java
@@ -121,7 +121,7 @@
             Root root, CancelScope scope, Function<Call, CompletableFuture<CallResult>> dispatch) {
         Root begun = root.at(now());
         if (!ports.credits().governs(root.tree())) {
-            // Reports the demand to the home nodes of services that are short, so that credits can govern from then on.
+            // Reports the demand to the home nodes of services that lack capacity, so that credits can govern later.
             ports.credits().demand(root.tree(), root.claimant());
             return run(begun, begun.call(), dispatch);
         }
--- a/src/main/java/io/beryldock/forwarding/TargetExchange.java
+++ b/src/main/java/io/beryldock/forwarding/TargetExchange.java
@@ -7,7 +7,7 @@
  *
  * @param reply completes with the outcome of the exchange; never fails
  * @param abort tells the target that no one waits for the answer; the reply is then {@link TargetReply.Kind#GIVEN_UP}.
- *     Without effect on a target that can't be told: its reply completes when the target ends the exchange
+ *     The abort has no effect on a target that can't be notified: the reply completes when that target responds
  */
 public record TargetExchange(CompletableFuture<TargetReply> reply, Runnable abort) {
 
--- a/src/main/java/io/beryldock/quarantine/CrashEvidence.java
+++ b/src/main/java/io/beryldock/quarantine/CrashEvidence.java
@@ -1,7 +1,7 @@
 package io.beryldock.quarantine;
 
 /**
- * What this node knows of one request that was in flight at one crash.
+ * The evidence that this node has against one request that was in flight at one crash.
  *
  * <p>Immutable. {@link #merge} is commutative, associative and idempotent, so that nodes that received the same deltas
  * in any order agree: a flag once set stays set, and of two expiry times the earlier holds, because transit delay only
--- a/src/test/java/io/beryldock/forwarding/RootAdmissionTest.java
+++ b/src/test/java/io/beryldock/forwarding/RootAdmissionTest.java
@@ -89,7 +89,7 @@
         assertThat(ended).isCompletedWithValue(result);
     }
 
-    /** Guards against all waiting requests starting at once, unchecked, when a short service's home node is lost. */
+    /** Guards against all waiting requests starting at once, unchecked, when the home node of a service is lost. */
     @Test
     void aRequestThatCreditsNoLongerGovernIsDecidedByLevels() {
         shedder.observe(LISTS, 1, ImmutableList.of(new ServiceLevel(LISTS, 0)));
@@ -151,7 +151,7 @@
         public void stop() {}
     }
 
-    /** Credits of a service that is always short. */
+    /** Credits that always govern, as for a service without spare capacity. */
     private final class AlwaysGoverningCredits extends NoCredits {
 
         @Override
