--- a/src/main/java/io/beryldock/http/ConnectedLife.java
+++ b/src/main/java/io/beryldock/http/ConnectedLife.java
@@ -2,9 +2,9 @@
 
 import com.google.common.flogger.FluentLogger;
 import com.google.errorprone.annotations.concurrent.GuardedBy;
-import io.beryldock.forwarding.LifeSign;
-import io.beryldock.forwarding.TargetLife;
 import io.beryldock.forwarding.TargetProbe;
+import io.beryldock.forwarding.TargetProcess;
+import io.beryldock.forwarding.TargetProcessState;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -18,7 +18,7 @@
  * connections are closed. So once a new connection was accepted, or refused, the kept one tells by its end whether the
  * process that accepted it has ended. Thread safe.
  */
-final class ConnectedLife implements TargetLife, AutoCloseable {
+final class ConnectedLife implements TargetProcess, AutoCloseable {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int SCRATCH_BYTES = 512;
@@ -83,8 +83,9 @@
     }
 
     @Override
-    public CompletableFuture<LifeSign> look(long lostAtNanos) {
-        return probe.listens(target).thenApply(up -> up && isOpen() ? LifeSign.GOES_ON : LifeSign.ENDED);
+    public CompletableFuture<TargetProcessState> checkState(long lostAtNanos) {
+        return probe.listens(target)
+                .thenApply(up -> up && isOpen() ? TargetProcessState.GOES_ON : TargetProcessState.ENDED);
     }
 
     @Override
--- a/src/main/java/io/beryldock/http/ConnectedTargetLives.java
+++ b/src/main/java/io/beryldock/http/ConnectedTargetLives.java
@@ -2,10 +2,10 @@
 
 import com.google.common.flogger.FluentLogger;
 import com.google.errorprone.annotations.concurrent.GuardedBy;
-import io.beryldock.forwarding.LifeSign;
-import io.beryldock.forwarding.TargetLife;
-import io.beryldock.forwarding.TargetLives;
 import io.beryldock.forwarding.TargetProbe;
+import io.beryldock.forwarding.TargetProcess;
+import io.beryldock.forwarding.TargetProcessState;
+import io.beryldock.forwarding.TargetProcesses;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Optional;
@@ -17,7 +17,7 @@
  * <p>Guards against a crash that nobody sees: a supervisor can start the target again before a probe looks, which then
  * finds a target that listens. Thread safe. Invariant: at most one connection is kept, none after {@link #close()}.
  */
-public final class ConnectedTargetLives implements TargetLives, AutoCloseable {
+public final class ConnectedTargetLives implements TargetProcesses, AutoCloseable {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int LOG_SECONDS = 10;
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public synchronized TargetLife current(InetSocketAddress target) {
+    public synchronized TargetProcess current(InetSocketAddress target) {
         boolean usable =
                 kept.filter(life -> life.isOf(target) && isUsable(life)).isPresent();
         if (!usable) {
@@ -47,7 +47,7 @@
             kept = closed ? Optional.empty() : connect(target);
         }
         return kept.filter(ConnectedLife::isEstablished)
-                .<TargetLife>map(life -> life)
+                .<TargetProcess>map(life -> life)
                 .orElseGet(() -> unwatched(target));
     }
 
@@ -68,8 +68,9 @@
     }
 
     /** A life of which only a refused connection tells that it has ended. */
-    private TargetLife unwatched(InetSocketAddress target) {
-        return lostAtNanos -> probe.listens(target).thenApply(up -> up ? LifeSign.UNKNOWN : LifeSign.ENDED);
+    private TargetProcess unwatched(InetSocketAddress target) {
+        return lostAtNanos ->
+                probe.listens(target).thenApply(up -> up ? TargetProcessState.UNKNOWN : TargetProcessState.ENDED);
     }
 
     @Override
--- a/src/main/java/io/beryldock/node/NodeModule.java
+++ b/src/main/java/io/beryldock/node/NodeModule.java
@@ -4,7 +4,7 @@
 import com.google.inject.AbstractModule;
 import com.google.inject.Provides;
 import com.google.inject.Singleton;
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.call.DataCentre;
 import io.beryldock.call.Incarnation;
 import io.beryldock.call.NodeId;
@@ -170,8 +170,8 @@
 
     @Provides
     @Singleton
-    DoorShedder door(TimerService timers, RandomGenerator random) {
-        return DoorShedder.create(timers.ticker(), random, events);
+    EntryShedder door(TimerService timers, RandomGenerator random) {
+        return EntryShedder.create(timers.ticker(), random, events);
     }
 
     @Provides
--- a/src/main/java/io/beryldock/node/OperatorModule.java
+++ b/src/main/java/io/beryldock/node/OperatorModule.java
@@ -3,7 +3,7 @@
 import com.google.inject.AbstractModule;
 import com.google.inject.Provides;
 import com.google.inject.Singleton;
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.command.OperatorPorts;
 import io.beryldock.command.OperatorService;
 import io.beryldock.command.StoreConfigurationChanger;
@@ -41,7 +41,7 @@
             ControlLoop control,
             Membership membership,
             TargetAnnouncements announcements,
-            DoorShedder door,
+            EntryShedder door,
             KeyedRequests keyed,
             NettyPeerTransport transport,
             NodeLedgers ledgers,
--- a/src/main/java/io/beryldock/node/QuarantineSpreader.java
+++ b/src/main/java/io/beryldock/node/QuarantineSpreader.java
@@ -4,7 +4,7 @@
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
 import io.beryldock.call.ServiceName;
-import io.beryldock.forwarding.CrashNews;
+import io.beryldock.forwarding.CrashNotifier;
 import io.beryldock.membership.Directory;
 import io.beryldock.membership.NodeDescriptor;
 import io.beryldock.membership.TargetRecord;
@@ -26,9 +26,9 @@
  * <p>A crash of this node's target goes at once to the nodes of the service, which may get its requests next. All
  * changes go to a few random nodes, which pass on what is news to them; now and then the whole table goes to one
  * node, in case a message was lost. Nothing is sent while no request is suspected. Its timers run on the
- * control thread; {@link #tell} and {@link #handle} are thread safe.
+ * control thread; {@link #notifyNodes} and {@link #handle} are thread safe.
  */
-final class QuarantineSpreader implements PeerHandler, CrashNews {
+final class QuarantineSpreader implements PeerHandler, CrashNotifier {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final Duration EXPIRY_PERIOD = Duration.ofSeconds(5);
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public CompletableFuture<Void> tell(ServiceName service, QuarantineDelta news) {
+    public CompletableFuture<Void> notifyNodes(ServiceName service, QuarantineDelta news) {
         ByteString body = news.toByteString();
         Directory known = directory.get();
         Stream<NodeDescriptor> ofService = known.targetsOf(service).stream().map(TargetRecord::node);
@@ -81,11 +81,11 @@
                 .distinct()
                 .filter(node -> !node.equals(self))
                 .limit(MAX_TOLD)
-                .map(node -> tell(node, body))
+                .map(node -> notifyNodes(node, body))
                 .toArray(CompletableFuture[]::new));
     }
 
-    private CompletableFuture<Void> tell(NodeDescriptor node, ByteString news) {
+    private CompletableFuture<Void> notifyNodes(NodeDescriptor node, ByteString news) {
         return transport
                 .request(node.peerAddress(), PeerTopic.QUARANTINE, news, LONGEST_TELLING)
                 .handle((reply, failure) -> {
--- a/src/main/java/io/beryldock/node/TrafficModule.java
+++ b/src/main/java/io/beryldock/node/TrafficModule.java
@@ -4,7 +4,7 @@
 import com.google.inject.Provider;
 import com.google.inject.Provides;
 import com.google.inject.Singleton;
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.admission.GateSettings;
 import io.beryldock.admission.LimitStrategies;
 import io.beryldock.admission.TargetGate;
@@ -32,7 +32,7 @@
 import io.beryldock.forwarding.TargetClient;
 import io.beryldock.forwarding.TargetCrashDetector;
 import io.beryldock.forwarding.TargetExecutor;
-import io.beryldock.forwarding.TargetLives;
+import io.beryldock.forwarding.TargetProcesses;
 import io.beryldock.http.ConnectedTargetLives;
 import io.beryldock.http.HttpTargetClient;
 import io.beryldock.http.TcpTargetProbe;
@@ -43,7 +43,7 @@
 import io.beryldock.peer.PeerTopic;
 import io.beryldock.peer.PeerTransport;
 import io.beryldock.quarantine.Quarantine;
-import io.beryldock.quota.QuotaKeeper;
+import io.beryldock.quota.QuotaLimiter;
 import io.beryldock.quota.QuotaTerms;
 import io.beryldock.retry.Backoff;
 import io.beryldock.retry.RetryBudgets;
@@ -141,14 +141,14 @@
 
     @Provides
     @Singleton
-    TargetLives targetLives() {
+    TargetProcesses targetLives() {
         return ConnectedTargetLives.create(new TcpTargetProbe());
     }
 
     @Provides
     @Singleton
     TargetCrashDetector crashDetector(
-            TargetLives lives, Quarantine quarantine, QuarantineSpreader news, EventSink events) {
+            TargetProcesses lives, Quarantine quarantine, QuarantineSpreader news, EventSink events) {
         return TargetCrashDetector.create(lives, quarantine, news, timers, events);
     }
 
@@ -195,7 +195,7 @@
             TargetChooser chooser,
             TargetExecutor executor,
             PeerTransport transport,
-            DoorShedder door,
+            EntryShedder door,
             RetryPolicySettings retries,
             RetryBudgets budgets,
             RetryTally retryTally,
@@ -233,7 +233,7 @@
     @Provides
     @Singleton
     HomeDispatcher homeDispatcher(
-            NodeSettings settings, DoorShedder door, RetryLedger ledger, CallForwarder forwarder) {
+            NodeSettings settings, EntryShedder door, RetryLedger ledger, CallForwarder forwarder) {
         return HomeDispatcher.create(settings.policy(), door, ledger, forwarder);
     }
 
@@ -272,19 +272,19 @@
     @Provides
     @Singleton
     QuotaTerms quotaTerms() {
-        return QuotaTerms.usual();
+        return QuotaTerms.defaults();
     }
 
     @Provides
     @Singleton
-    QuotaKeeper quotas(
+    QuotaLimiter quotas(
             QuotaTerms terms,
             NodeDescriptor self,
             Provider<Membership> membership,
             PeerTransport transport,
             ConfigurationKeeper configuration,
             RandomGenerator random) {
-        QuotaKeeper quotas = QuotaKeeper.create(new QuotaKeeper.Ports(
+        QuotaLimiter quotas = QuotaLimiter.create(new QuotaLimiter.Ports(
                 terms,
                 DirectoryQuotaPeers.create(self, () -> membership.get().directory(), transport),
                 () -> configuration.current().organisations(),
@@ -302,7 +302,7 @@
             NodeSettings settings,
             ConfigurationKeeper configuration,
             CallerAccess access,
-            QuotaKeeper quotas,
+            QuotaLimiter quotas,
             RootAdmission admission,
             RetryLedger ledger,
             ExecutionRegistry executions,
--- a/src/main/java/io/beryldock/platform/LocalTargetLives.java
+++ b/src/main/java/io/beryldock/platform/LocalTargetLives.java
@@ -1,9 +1,9 @@
 package io.beryldock.platform;
 
-import io.beryldock.forwarding.LifeSign;
-import io.beryldock.forwarding.TargetLife;
-import io.beryldock.forwarding.TargetLives;
 import io.beryldock.forwarding.TargetProbe;
+import io.beryldock.forwarding.TargetProcess;
+import io.beryldock.forwarding.TargetProcessState;
+import io.beryldock.forwarding.TargetProcesses;
 import io.beryldock.nettyhttp.HttpClient;
 import java.net.InetSocketAddress;
 import java.util.Optional;
@@ -15,7 +15,7 @@
  * <p>No connection is made for this while one from before the loss is open, as targets take few and each may hold a
  * slot. Thread safe.
  */
-final class LocalTargetLives implements TargetLives {
+final class LocalTargetLives implements TargetProcesses {
 
     private final LocalTargets targets;
     private final HttpClient client;
@@ -28,26 +28,27 @@
     }
 
     @Override
-    public TargetLife current(InetSocketAddress target) {
+    public TargetProcess current(InetSocketAddress target) {
         return new Life(this, targets.current(), target);
     }
 
-    private CompletableFuture<LifeSign> look(Life life, long lostAtNanos) {
+    private CompletableFuture<TargetProcessState> look(Life life, long lostAtNanos) {
         if (!targets.current().equals(life.start())) {
-            return CompletableFuture.completedFuture(LifeSign.ENDED);
+            return CompletableFuture.completedFuture(TargetProcessState.ENDED);
         }
         return client.hasConnectionFromBefore(life.address(), lostAtNanos)
                 .thenCompose(open -> open
-                        ? CompletableFuture.completedFuture(LifeSign.GOES_ON)
-                        : probe.listens(life.address()).thenApply(up -> up ? LifeSign.UNKNOWN : LifeSign.ENDED));
+                        ? CompletableFuture.completedFuture(TargetProcessState.GOES_ON)
+                        : probe.listens(life.address())
+                                .thenApply(up -> up ? TargetProcessState.UNKNOWN : TargetProcessState.ENDED));
     }
 
     /** A start of the target. Equal for one start. */
     private record Life(LocalTargetLives lives, Optional<LocalTarget> start, InetSocketAddress address)
-            implements TargetLife {
+            implements TargetProcess {
 
         @Override
-        public CompletableFuture<LifeSign> look(long lostAtNanos) {
+        public CompletableFuture<TargetProcessState> checkState(long lostAtNanos) {
             return lives.look(this, lostAtNanos);
         }
     }
--- a/src/main/java/io/beryldock/platform/PlatformModule.java
+++ b/src/main/java/io/beryldock/platform/PlatformModule.java
@@ -12,7 +12,7 @@
 import io.beryldock.forwarding.CallerAccess;
 import io.beryldock.forwarding.ExecutionRegistry;
 import io.beryldock.forwarding.TargetClient;
-import io.beryldock.forwarding.TargetLives;
+import io.beryldock.forwarding.TargetProcesses;
 import io.beryldock.http.TcpTargetProbe;
 import io.beryldock.membership.Membership;
 import io.beryldock.membership.NodeDescriptor;
@@ -145,7 +145,7 @@
 
     @Provides
     @Singleton
-    TargetLives targetLives(LocalTargets targets) {
+    TargetProcesses targetLives(LocalTargets targets) {
         return new LocalTargetLives(targets, targetClient, new TcpTargetProbe());
     }
 
@@ -197,11 +197,11 @@
     }
 
     /** Repeats of repeats are counted, so the share needs no divisor; the slack is an even part for each node. */
-    private WindowRetryBudget.Terms windowTerms(Membership membership) {
+    private WindowRetryBudget.Limits windowTerms(Membership membership) {
         int nodes = Math.max(1, membership.directory().nodes().size());
         PlatformSettings.Retries retries = settings.retries();
         int floor = (int) (SPENT_SLACK * retries.slack() / nodes);
-        return new WindowRetryBudget.Terms(SPENT_SHARE * retries.share(), floor, retries.window());
+        return new WindowRetryBudget.Limits(SPENT_SHARE * retries.share(), floor, retries.window());
     }
 
     /**
--- a/src/main/java/io/beryldock/waiting/WaitingRoom.java
+++ b/src/main/java/io/beryldock/waiting/WaitingRoom.java
@@ -161,7 +161,7 @@
     }
 
     private boolean releaseUngoverned(WaitingLine line, List<Waiter> out) {
-        if (credits.governs(line.tree())) {
+        if (credits.requiresCredits(line.tree())) {
             return false;
         }
         while (!line.isEmpty()) {
--- a/src/test/java/io/beryldock/http/ConnectedTargetLivesTest.java
+++ b/src/test/java/io/beryldock/http/ConnectedTargetLivesTest.java
@@ -3,8 +3,8 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.beryldock.forwarding.LifeSign;
-import io.beryldock.forwarding.TargetLife;
+import io.beryldock.forwarding.TargetProcess;
+import io.beryldock.forwarding.TargetProcessState;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -43,63 +43,63 @@
         }
     }
 
-    private static LifeSign look(TargetLife life) {
-        return life.look(0).join();
+    private static TargetProcessState look(TargetProcess life) {
+        return life.checkState(0).join();
     }
 
     @Test
     void aTargetThatListensOnGoesOn() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife life = lives.current(target);
+        TargetProcess life = lives.current(target);
         accepted.add(listener.accept());
-        assertThat(look(life)).isEqualTo(LifeSign.GOES_ON);
+        assertThat(look(life)).isEqualTo(TargetProcessState.GOES_ON);
         assertThat(lives.current(target)).isSameAs(life);
     }
 
     @Test
     void aTargetThatRefusesConnectionsHasEnded() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife life = lives.current(target);
+        TargetProcess life = lives.current(target);
         accepted.add(listener.accept());
         end();
-        assertThat(look(life)).isEqualTo(LifeSign.ENDED);
+        assertThat(look(life)).isEqualTo(TargetProcessState.ENDED);
     }
 
     /** Guards against a crash that nobody sees: the target listens again before anybody looks. */
     @Test
     void aTargetThatWasStartedAgainAtOnceHasEnded() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife life = lives.current(target);
+        TargetProcess life = lives.current(target);
         accepted.add(listener.accept());
         end();
         listen(target.getPort());
-        assertThat(look(life)).isEqualTo(LifeSign.ENDED);
-        TargetLife next = lives.current(target);
+        assertThat(look(life)).isEqualTo(TargetProcessState.ENDED);
+        TargetProcess next = lives.current(target);
         assertThat(next).isNotSameAs(life);
-        assertThat(look(next)).isEqualTo(LifeSign.GOES_ON);
+        assertThat(look(next)).isEqualTo(TargetProcessState.GOES_ON);
     }
 
     /** Guards against the same where the process ends before it accepted the connection. */
     @Test
     void aTargetThatNeverAcceptedTheConnectionHasEndedToo() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife life = lives.current(target);
+        TargetProcess life = lives.current(target);
         end();
         listen(target.getPort());
-        assertThat(look(life)).isEqualTo(LifeSign.ENDED);
+        assertThat(look(life)).isEqualTo(TargetProcessState.ENDED);
     }
 
     /** Guards against innocent suspects: a target may close a connection that is idle for long, saying so or not. */
     @Test
     void anIdleConnectionThatTheTargetClosesIsMadeAnew() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife life = lives.current(target);
+        TargetProcess life = lives.current(target);
         Socket idle = listener.accept();
         idle.getOutputStream().write("HTTP/1.1 408 Request Timeout\r\n\r\n".getBytes(UTF_8));
         idle.close();
-        TargetLife next = lives.current(target);
+        TargetProcess next = lives.current(target);
         assertThat(next).isNotSameAs(life);
-        assertThat(look(next)).isEqualTo(LifeSign.GOES_ON);
+        assertThat(look(next)).isEqualTo(TargetProcessState.GOES_ON);
     }
 
     /** Guards against an end that is told of a target which could not be watched from the start of the exchange. */
@@ -107,17 +107,17 @@
     void aLifeThatCouldNotBeWatchedIsUnknown() throws IOException {
         InetSocketAddress target = listen(0);
         listener.close();
-        TargetLife life = lives.current(target);
-        assertThat(look(life)).isEqualTo(LifeSign.ENDED);
+        TargetProcess life = lives.current(target);
+        assertThat(look(life)).isEqualTo(TargetProcessState.ENDED);
         listen(target.getPort());
-        assertThat(look(life)).isEqualTo(LifeSign.UNKNOWN);
+        assertThat(look(life)).isEqualTo(TargetProcessState.UNKNOWN);
     }
 
     @Test
     void nothingIsKeptOnceClosed() throws IOException {
         InetSocketAddress target = listen(0);
         lives.close();
-        CompletableFuture<LifeSign> sign = lives.current(target).look(0);
-        assertThat(sign.join()).isEqualTo(LifeSign.UNKNOWN);
+        CompletableFuture<TargetProcessState> sign = lives.current(target).checkState(0);
+        assertThat(sign.join()).isEqualTo(TargetProcessState.UNKNOWN);
     }
 }
