--- a/src/main/java/io/beryldock/settings/NodeSettings.java
+++ b/src/main/java/io/beryldock/settings/NodeSettings.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 
 /**
- * Settings of a node, from its JSON file. Immutable.
+ * Settings of a node, read from its JSON file. Immutable.
  *
  * <p>Example: see {@code docs/examples/node-gent-a.json}.
  *
@@ -20,9 +20,9 @@
  * @param loopback listener for the inner calls and announcements of the target in the same VM
  * @param peers listener for other nodes
  * @param admin listener for health, metrics and operators
- * @param seeds peer addresses, IP:PORT, through which the node finds the others
- * @param platform the platform store; without it keys and configuration changes are refused
- * @param policy how the node treats overload
+ * @param seeds peer addresses, IP:PORT, through which the node finds the other nodes
+ * @param platform the platform store; without it, keys and configuration changes are refused
+ * @param policy how the node handles overload
  * @param limits sizes and times
  */
 public record NodeSettings(
@@ -55,7 +55,7 @@
         limits = limits == null ? Limits.defaults() : limits;
     }
 
-    /** Where a listener accepts connections; port 0 takes a free one. */
+    /** Address on which a listener accepts connections; with port 0 the system assigns a free port. */
     public record Listener(
             @NotNull @Pattern(regexp = "[0-9.]+", message = "is an IP number")
             String address,
@@ -70,9 +70,11 @@
     }
 
     /**
-     * The listener for other nodes and how nodes prove who they are; tls or insecure must be chosen.
+     * The listener for other nodes and the authentication between nodes; either {@code tls} or {@code insecure} must be
+     * set.
      *
-     * @param advertisedPort where others reach it, when a forwarder takes their connections; absent for the port itself
+     * @param advertisedPort port at which other nodes reach the listener through a forwarder; null if it is the port
+     *     itself
      */
     public record Peers(
             @NotNull @Pattern(regexp = "[0-9.]+", message = "is an IP number")
@@ -83,19 +85,19 @@
             boolean insecure,
             @Min(1) @Max(MAX_PORT) Integer advertisedPort) {
 
-        /** A listener that others reach without a forwarder. */
+        /** Creates a listener that other nodes reach without a forwarder. */
         public Peers(String address, int port, Tls tls, boolean insecure) {
             this(address, port, tls, insecure, null);
         }
     }
 
-    /** Files in PEM form; they are read again when they change. */
+    /** Files in PEM format, which are read again when they change. */
     public record Tls(
             @NotNull String certificateFile,
             @NotNull String keyFile,
             @NotNull String trustFile) {}
 
-    /** The operators' listener; without a token file it answers health and metrics only. */
+    /** The operators' listener; without a token file it serves health and metrics only. */
     public record Admin(
             @NotNull @Pattern(regexp = "[0-9.]+", message = "is an IP number")
             String address,
@@ -108,27 +110,30 @@
         }
     }
 
-    /** Where the platform store answers. */
+    /** Address of the platform store. */
     public record Platform(
             @NotNull @Pattern(regexp = "http://" + ADDRESS, message = "is http://IP:PORT")
             String url) {}
 
-    /** How the node treats overload. */
+    /** How the node handles overload. */
     public enum Policy {
-        /** All of it. */
+        /** All mechanisms of overload control. */
         FULL,
-        /** The baseline for measurements: fixed concurrency, three tries at each layer, no shared budget, no door. */
+        /**
+         * The baseline for measurements: fixed concurrency, three tries at each layer, no shared retry budget, no load
+         * shedding at the entry node.
+         */
         NONE
     }
 
     /**
      * Sizes and times.
      *
-     * @param maxBodyBytes largest body taken from a caller or a target
-     * @param maxHeaderBytes largest sum of header names and values
-     * @param connectionsToTarget most connections to the target
-     * @param announcementSeconds time after which a target that no longer announces itself is withdrawn
-     * @param drainSeconds longest wait for requests in flight at a planned stop
+     * @param maxBodyBytes largest body accepted from a caller or a target
+     * @param maxHeaderBytes largest total size of header names and values
+     * @param connectionsToTarget maximum number of connections to the target
+     * @param announcementSeconds time after which a target that has stopped announcing itself is withdrawn
+     * @param drainSeconds maximum wait for requests in flight at a planned stop
      */
     public record Limits(
             @Min(1) int maxBodyBytes,
--- a/src/main/java/io/beryldock/settings/SelfChecked.java
+++ b/src/main/java/io/beryldock/settings/SelfChecked.java
@@ -1,8 +1,8 @@
 package io.beryldock.settings;
 
-/** Settings that check themselves after they were read, without the validator's start-up time. */
+/** Settings that validate themselves after they are read, which avoids the start-up time of the bean validator. */
 public interface SelfChecked {
 
-    /** Fails with the key, what was expected and the remedy when a value can't be used. */
+    /** Throws an exception with the key, the expected value and the remedy if a value is invalid. */
     void check() throws SettingsException;
 }
--- a/src/main/java/io/beryldock/settings/SettingsException.java
+++ b/src/main/java/io/beryldock/settings/SettingsException.java
@@ -1,6 +1,6 @@
 package io.beryldock.settings;
 
-/** A setting is missing, unknown or wrong; the message is one line that names the key and the remedy. */
+/** Thrown if a setting is missing, unknown or invalid; the message is one line that names the key and the remedy. */
 public final class SettingsException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -12,7 +12,7 @@
         this.key = key;
     }
 
-    /** The key with its path, for example {@code peers.port}. */
+    /** Returns the key with its path, for example {@code peers.port}. */
     public String key() {
         return key;
     }
--- a/src/main/java/io/beryldock/settings/SettingsReader.java
+++ b/src/main/java/io/beryldock/settings/SettingsReader.java
@@ -19,9 +19,10 @@
 import java.util.stream.Collectors;
 
 /**
- * Reads settings from JSON and checks them.
+ * Reads settings from JSON and validates them. Stateless.
  *
- * <p>Every fault is a {@link SettingsException} of one line with the key, what was expected and the remedy. Stateless.
+ * <p>Every error is reported as a {@link SettingsException} of one line with the key, the expected value and the
+ * remedy.
  */
 public final class SettingsReader {
 
@@ -32,26 +33,29 @@
 
     private SettingsReader() {}
 
-    /** Made on first use: the validator takes a quarter of a second, which a node that restarts in an outage lacks. */
-    private static final class Checks {
+    /**
+     * Created on first use: the validator takes a quarter of a second to create, which would delay a node that restarts
+     * during an outage.
+     */
+    private static final class ValidatorHolder {
         static final Validator VALIDATOR = Validators.newValidator();
     }
 
-    /** Reads the file; a file that can't be read is a fault of the key {@code --settings}. */
+    /** Reads settings from a file; a file that cannot be read is reported as an error of the key {@code --settings}. */
     public static <T> T read(Path file, Class<T> type) throws SettingsException {
-        return parse(text(file), type);
+        return parse(readFile(file), type);
     }
 
-    /** Reads settings from a text. */
+    /** Parses settings from JSON text. */
     public static <T> T parse(String json, Class<T> type) throws SettingsException {
         T settings = read(json, type);
         check(settings);
         return settings;
     }
 
-    /** Reads settings that check themselves. */
+    /** Reads settings that validate themselves. */
     public static <T extends SelfChecked> T readSelfChecked(Path file, Class<T> type) throws SettingsException {
-        T settings = read(text(file), type);
+        T settings = read(readFile(file), type);
         settings.check();
         return settings;
     }
@@ -64,7 +68,7 @@
         }
     }
 
-    private static String text(Path file) throws SettingsException {
+    private static String readFile(Path file) throws SettingsException {
         try {
             return Files.readString(file);
         } catch (IOException e) {
@@ -92,31 +96,33 @@
                     : mapping.getCause().getMessage();
             return new SettingsException(path(mapping), "a valid value (" + cause + ")", "correct the value");
         }
-        String place = e.getLocation() == null
+        String location = e.getLocation() == null
                 ? ""
                 : " at line " + e.getLocation().getLineNr() + ", column "
                         + e.getLocation().getColumnNr();
-        return new SettingsException("--settings", "well-formed JSON" + place, "correct the syntax");
+        return new SettingsException("--settings", "well-formed JSON" + location, "correct the syntax");
     }
 
     private static String path(JsonMappingException e) {
         String path = e.getPath().stream()
-                .map(step -> step.getFieldName() == null ? "[" + step.getIndex() + "]" : step.getFieldName())
+                .map(reference ->
+                        reference.getFieldName() == null ? "[" + reference.getIndex() + "]" : reference.getFieldName())
                 .collect(Collectors.joining("."))
                 .replace(".[", "[");
         return path.isEmpty() ? "(whole file)" : path;
     }
 
     private static <T> void check(T settings) throws SettingsException {
-        Optional<ConstraintViolation<T>> first = Checks.VALIDATOR.validate(settings).stream()
+        Optional<ConstraintViolation<T>> first = ValidatorHolder.VALIDATOR.validate(settings).stream()
                 .min(Comparator.comparing(
                         violation -> violation.getPropertyPath().toString()));
         if (first.isPresent()) {
-            ConstraintViolation<T> fault = first.get();
-            String found = fault.getInvalidValue() == null ? "nothing" : "'" + fault.getInvalidValue() + "'";
+            ConstraintViolation<T> firstViolation = first.get();
+            String found =
+                    firstViolation.getInvalidValue() == null ? "nothing" : "'" + firstViolation.getInvalidValue() + "'";
             throw new SettingsException(
-                    fault.getPropertyPath().toString(),
-                    "a value that " + fault.getMessage() + ", found " + found,
+                    firstViolation.getPropertyPath().toString(),
+                    "a value that " + firstViolation.getMessage() + ", found " + found,
                     "set the key");
         }
     }
--- a/src/main/java/io/beryldock/settings/package-info.java
+++ b/src/main/java/io/beryldock/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings of a process: read from a JSON file, checked before anything starts. */
+/** Settings of a process, which are read from a JSON file and validated before anything starts. */
 package io.beryldock.settings;
