--- a/src/main/java/io/beryldock/configuration/ChangeLog.java
+++ b/src/main/java/io/beryldock/configuration/ChangeLog.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The last accepted changes that a node has seen, without a gap, up to the version in force.
+ * The most recent accepted changes that a node knows, without gaps, up to the version in force.
  *
- * <p>Immutable. Invariant: the versions are consecutive. Holds at most {@link #MAX_RECORDS}, about 100 KB.
+ * <p>Immutable. Invariant: the versions are consecutive. Holds at most {@link #MAX_RECORDS} changes, about 100 KB.
  */
 final class ChangeLog {
 
@@ -28,7 +28,7 @@
         return records;
     }
 
-    /** The log with later changes; those before a gap are dropped. */
+    /** Returns the log with later changes added; changes before a gap are dropped. */
     ChangeLog plus(List<ChangeRecord> later) {
         if (later.isEmpty()) {
             return this;
@@ -43,7 +43,7 @@
         return new ChangeLog(joined.subList(excess, joined.size()));
     }
 
-    /** The change that made the version, or null. */
+    /** Returns the change that created the version, or null if the log does not contain it. */
     ChangeRecord at(long version) {
         if (records.isEmpty() || version < records.get(0).version() || version > last()) {
             return null;
@@ -51,15 +51,15 @@
         return records.get((int) (version - records.get(0).version()));
     }
 
-    /** The version from which on the changes after it are all here; the version in force itself for an empty log. */
+    /** Returns the version after which the log contains all changes; for an empty log, the version in force itself. */
     long reach(long versionInForce) {
         return records.isEmpty() ? versionInForce : records.get(0).version() - 1;
     }
 
-    /** Changes after the version, at most so many. */
-    ImmutableList<ChangeRecord> after(long version, int most) {
+    /** Returns up to {@code limit} changes after the version. */
+    ImmutableList<ChangeRecord> after(long version, int limit) {
         int from = (int) Math.max(0, version - reach(version));
-        int to = Math.min(records.size(), from + most);
+        int to = Math.min(records.size(), from + limit);
         return from >= to ? ImmutableList.of() : records.subList(from, to);
     }
 
--- a/src/main/java/io/beryldock/configuration/ChangeRecord.java
+++ b/src/main/java/io/beryldock/configuration/ChangeRecord.java
@@ -4,16 +4,16 @@
 import java.util.Objects;
 
 /**
- * One accepted change: the step from the version before to its own. Immutable.
+ * One accepted change: the step from the previous version to its own version. Immutable.
  *
- * <p>It holds the setting's new value, not the operator's statement to be run again, so that every node comes to the
- * same document whatever its release.
+ * <p>It holds the new value of the setting and not the operator's statement to be re-executed, so that nodes of all
+ * releases arrive at the same document.
  *
  * @param changeId 32 hexadecimal digits, chosen by the writer
- * @param operator who submitted it
- * @param at when, by the clock of the node that wrote it; for people only, no decision reads it
+ * @param operator name of the operator who submitted the change
+ * @param at time of the change by the clock of the writing node; for display only, no decision depends on it
  * @param touched the setting, or the field of it, that the operator named
- * @param edit what becomes of the setting
+ * @param edit the effect on the setting
  */
 public record ChangeRecord(
         long version,
--- a/src/main/java/io/beryldock/configuration/ClassSetting.java
+++ b/src/main/java/io/beryldock/configuration/ClassSetting.java
@@ -2,7 +2,7 @@
 
 import io.beryldock.call.PriorityClass;
 
-/** A class of importance and its rank. Immutable. */
+/** A priority class and its rank. Immutable. */
 public record ClassSetting(PriorityClass priority) implements Setting {
 
     @Override
--- a/src/main/java/io/beryldock/configuration/Configuration.java
+++ b/src/main/java/io/beryldock/configuration/Configuration.java
@@ -16,21 +16,21 @@
 /**
  * The operators' settings at one version.
  *
- * <p>Immutable. Version 0 is the built-in default of a deployment; each accepted change makes the next version. Two
- * configurations of the same lineage and version are equal at every node.
+ * <p>Immutable. Version 0 holds the built-in defaults of a deployment; each accepted change creates the next version.
+ * Two configurations with the same lineage and version are equal on all nodes.
  */
 public final class Configuration {
 
-    /** Version of built-in defaults, below every accepted one. */
+    /** Version of the built-in defaults, lower than the version of every accepted change. */
     public static final long DEFAULTS_VERSION = 0;
 
-    /** Lineage of built-in defaults, which no store has seen. */
+    /** Lineage of the built-in defaults, which have never been written to a store. */
     static final String NO_LINEAGE = "";
 
-    /** Lineage of documents that operators keep outside the product. */
+    /** Lineage of documents that operators maintain outside the product. */
     private static final String IMPORTED_LINEAGE = "imported";
 
-    /** Budget of a route whose budget is not in the document: no retry. */
+    /** Budget of a route whose named budget is not in the document: no retries. */
     private static final RetrySetting NO_RETRY = new RetrySetting("none", 0, 0);
 
     private final String lineage;
@@ -40,8 +40,8 @@
     private final HostTable hosts;
     private final OrganisationTable organisations;
 
-    /** Ranks from 0 up to the highest that a route has, whether used or not. */
-    private final int routeRanks;
+    /** Number of ranks from 0 to the highest rank of any priority class, used or not. */
+    private final int rankCount;
 
     private Configuration(
             String lineage,
@@ -56,7 +56,7 @@
         this.routes = routes;
         this.hosts = hosts;
         this.organisations = organisations;
-        this.routeRanks = 1 + highestRank(settings);
+        this.rankCount = 1 + highestRank(settings);
     }
 
     private static int highestRank(ImmutableSortedMap<SettingKey, Setting> settings) {
@@ -78,18 +78,18 @@
                 lineage,
                 version,
                 settings,
-                RouteTable.of(anyHost(settings)),
-                HostTable.of(oneHost(settings)),
+                RouteTable.of(routesForAnyHost(settings)),
+                HostTable.of(routesForOneHost(settings)),
                 OrganisationTable.empty());
     }
 
-    private static List<Route> anyHost(ImmutableSortedMap<SettingKey, Setting> settings) {
+    private static List<Route> routesForAnyHost(ImmutableSortedMap<SettingKey, Setting> settings) {
         return routes(settings)
                 .filter(route -> route.host().equals(Route.ANY_HOST))
                 .toList();
     }
 
-    private static List<Route> oneHost(ImmutableSortedMap<SettingKey, Setting> settings) {
+    private static List<Route> routesForOneHost(ImmutableSortedMap<SettingKey, Setting> settings) {
         return routes(settings)
                 .filter(route -> !route.host().equals(Route.ANY_HOST))
                 .toList();
@@ -99,32 +99,32 @@
         return settings.values().stream().filter(Route.class::isInstance).map(Route.class::cast);
     }
 
-    /** Settings that operators keep outside the product, at the version that they gave them. */
+    /** Creates a configuration from settings that operators maintain outside the product, at the operators' version. */
     public static Configuration imported(long version, Collection<? extends Setting> settings) {
         return of(IMPORTED_LINEAGE, version, settings);
     }
 
-    /** The same configuration, whose callers are these organisations. */
+    /** Returns this configuration with another table of calling organisations. */
     public Configuration withOrganisations(OrganisationTable callers) {
         return new Configuration(lineage, version, settings, routes, hosts, callers);
     }
 
-    /** The organisations whose keys open the routes; empty where requests need no key. */
+    /** Returns the organisations whose keys are accepted; empty if requests need no key. */
     public OrganisationTable organisations() {
         return organisations;
     }
 
-    /** Built-in settings of a deployment: {@code vandermeulen}, {@code karri-ember} or {@code none}. */
+    /** Returns the built-in settings of a deployment: {@code vandermeulen}, {@code karri-ember} or {@code none}. */
     public static Configuration defaults(String deployment) throws ConfigurationException {
         return of(NO_LINEAGE, DEFAULTS_VERSION, DefaultSettings.of(deployment));
     }
 
-    /** Reads the JSON form and checks each setting. */
+    /** Parses the JSON form and checks each setting. */
     public static Configuration parse(String json) throws ConfigurationException {
         return ConfigurationJson.parse(json);
     }
 
-    /** Canonical JSON: equal configurations have equal text. */
+    /** Returns canonical JSON: equal configurations have equal text. */
     public String toJson() {
         return ConfigurationJson.write(this);
     }
@@ -133,12 +133,15 @@
         return version;
     }
 
-    /** Tells documents of one store apart from those written after the store had lost its content. */
+    /**
+     * Returns the lineage, which distinguishes documents written before the store lost its content from those written
+     * after.
+     */
     public String lineage() {
         return lineage;
     }
 
-    /** All settings in order of their keys. */
+    /** Returns all settings in order of their keys. */
     public ImmutableSortedMap<SettingKey, Setting> settings() {
         return settings;
     }
@@ -147,18 +150,20 @@
         return Optional.ofNullable(settings.get(key.whole()));
     }
 
-    /** The route of a request; of those that match, the longest prefix, then the one that names the method. */
+    /**
+     * Finds the route of a request: among the matching routes, the longest prefix, then a route that names the method.
+     */
     public Optional<Route> find(String method, String path) {
         return routes.find(method, path);
     }
 
-    /** The route of a request to the host: one of that host, else one for any. */
+    /** Finds the route of a request to a host: a route for that host, otherwise a route for any host. */
     public Optional<Route> find(String host, String method, String path) {
         Optional<Route> route = hosts.find(host, path);
         return route.isPresent() ? route : find(method, path);
     }
 
-    /** Class of the route; a class that the document lacks has the rank that is shed first. */
+    /** Returns the priority class of a route; a class that is not in the document gets the rank that is shed first. */
     public PriorityClass priorityOf(Route route) {
         Setting setting = settings.get(SettingKey.priorityClass(route.priorityClass()));
         if (setting instanceof ClassSetting found) {
@@ -168,52 +173,53 @@
     }
 
     /**
-     * Class of a request that an organisation makes on the route.
+     * Returns the priority class of a request that an organisation makes on the route.
      *
-     * <p>Organisations are ordered by their ranks, the requests of organisations of one rank by those of their routes:
-     * an order of a usual organisation still goes before its browsing, and all of it behind one that goes first.
+     * <p>Requests are ordered first by the rank of their organisation, then by the rank of their route. Within one
+     * organisation rank, orders still take precedence over browsing; all requests of a lower organisation rank come
+     * after all requests of a higher one.
      */
     public PriorityClass priorityOf(Route route, Optional<Organisation> organisation) {
         PriorityClass own = priorityOf(route);
-        int before = organisation.map(organisations::ranksBefore).orElse(0);
-        if (before == 0) {
+        int ranksBefore = organisation.map(organisations::ranksBefore).orElse(0);
+        if (ranksBefore == 0) {
             return own;
         }
-        return PriorityClass.ofRank(Math.min(PriorityClass.LOWEST_RANK, before * routeRanks + own.rank()));
+        return PriorityClass.ofRank(Math.min(PriorityClass.LOWEST_RANK, ranksBefore * rankCount + own.rank()));
     }
 
-    /** Retry budget of the route; one that the document lacks allows no retry. */
+    /** Returns the retry budget of a route; a budget that is not in the document allows no retries. */
     public RetrySetting budgetOf(Route route) {
         Setting setting = settings.get(SettingKey.budget(route.budget()));
         return setting instanceof RetrySetting found ? found : NO_RETRY;
     }
 
-    /** Whether operators drain the target of the node. */
+    /** Whether operators have drained the target of the node. */
     public boolean drained(NodeId node) {
         return settings.containsKey(SettingKey.drain(node));
     }
 
-    /** What operators set for the service, if anything. */
+    /** Returns the operators' setting for the service, if there is one. */
     public Optional<ServiceSetting> service(ServiceName name) {
         Setting setting = settings.get(SettingKey.service(name));
         return setting instanceof ServiceSetting found ? Optional.of(found) : Optional.empty();
     }
 
-    /** The next version with one setting put or removed. */
+    /** Returns the next version, with one setting set or removed. */
     Configuration with(SettingEdit edit) {
-        return edited(List.of(edit));
+        return withEdits(List.of(edit));
     }
 
-    /** The version of the last of the changes, which follow this version one by one. */
+    /** Returns the configuration after the changes, whose versions must follow this version consecutively. */
     Configuration after(List<ChangeRecord> changes) {
-        Configuration next = edited(changes.stream().map(ChangeRecord::edit).toList());
+        Configuration next = withEdits(changes.stream().map(ChangeRecord::edit).toList());
         if (!changes.isEmpty() && changes.get(changes.size() - 1).version() != next.version) {
             throw new IllegalArgumentException("changes don't follow version " + version);
         }
         return next;
     }
 
-    private Configuration edited(List<SettingEdit> edits) {
+    private Configuration withEdits(List<SettingEdit> edits) {
         TreeMap<SettingKey, Setting> map = new TreeMap<>(settings);
         boolean routesTouched = false;
         for (SettingEdit edit : edits) {
@@ -221,13 +227,13 @@
             routesTouched |= edit.key().kind() == SettingKey.Kind.ROUTE;
         }
         ImmutableSortedMap<SettingKey, Setting> next = ImmutableSortedMap.copyOfSorted(map);
-        RouteTable table = routesTouched ? RouteTable.of(anyHost(next)) : routes;
-        HostTable hostTable = routesTouched ? HostTable.of(oneHost(next)) : hosts;
+        RouteTable table = routesTouched ? RouteTable.of(routesForAnyHost(next)) : routes;
+        HostTable hostTable = routesTouched ? HostTable.of(routesForOneHost(next)) : hosts;
         return new Configuration(lineage, version + edits.size(), next, table, hostTable, organisations);
     }
 
-    /** The same settings under another lineage and version. */
-    Configuration at(String newLineage, long newVersion) {
+    /** Returns the same settings under another lineage and version. */
+    Configuration withVersion(String newLineage, long newVersion) {
         return new Configuration(newLineage, newVersion, settings, routes, hosts, organisations);
     }
 
--- a/src/main/java/io/beryldock/configuration/ConfigurationChange.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationChange.java
@@ -7,19 +7,22 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** One change that an operator asks for; it touches one setting. Immutable. */
+/** One configuration change requested by an operator; it touches exactly one setting. Immutable. */
 public sealed interface ConfigurationChange {
 
-    /** The setting, or the field of it, that the change touches. */
+    /** Returns the key of the setting, or of the field of a setting, that the change touches. */
     SettingKey setting();
 
-    /** The change in the operators' language, for the history. */
+    /** Returns the change in the operators' command language, for the history. */
     String statement();
 
-    /** What it does on top of a configuration; checked, the error names the setting and the remedy. */
+    /**
+     * Returns the effect of the change on a configuration, after checking it; the exception names the setting and the
+     * remedy.
+     */
     SettingEdit editOf(Configuration base) throws ConfigurationException;
 
-    /** The next version with the change in it. */
+    /** Returns the next version of the configuration, with the change applied. */
     default Configuration apply(Configuration base) throws ConfigurationException {
         return base.with(editOf(base));
     }
@@ -44,7 +47,7 @@
         return SettingEdit.remove(key);
     }
 
-    /** Adds a route or replaces the one of the same prefix and methods. Immutable. */
+    /** Adds a route, or replaces the route with the same prefix and methods. Immutable. */
     record SetRoute(Route route) implements ConfigurationChange {
 
         @Override
@@ -63,7 +66,7 @@
         }
     }
 
-    /** Removes the route of just that prefix and those methods. Immutable. */
+    /** Removes the route with exactly this prefix and these methods. Immutable. */
     record RemoveRoute(String prefix, ImmutableSet<String> methods) implements ConfigurationChange {
 
         @Override
@@ -82,7 +85,10 @@
         }
     }
 
-    /** Gives a class its rank, 0 (shed last) to 7 (shed first); makes the class when it is new. Immutable. */
+    /**
+     * Sets the rank of a priority class, 0 (shed last) to 7 (shed first); creates the class if it does not exist.
+     * Immutable.
+     */
     record SetClass(String name, int priority) implements ConfigurationChange {
 
         @Override
@@ -105,7 +111,7 @@
         }
     }
 
-    /** Sets a retry budget; makes it when it is new. Immutable. */
+    /** Sets a retry budget; creates the budget if it does not exist. Immutable. */
     record SetBudget(String name, int retries, double share) implements ConfigurationChange {
 
         @Override
@@ -124,7 +130,7 @@
         }
     }
 
-    /** Caps the requests that each target of a service runs at once. Immutable. */
+    /** Limits the requests that each target of a service runs concurrently. Immutable. */
     record SetLimit(ServiceName service, int slots) implements ConfigurationChange {
 
         @Override
@@ -181,7 +187,7 @@
         }
     }
 
-    /** Lets the target of a node take no new work. Immutable. */
+    /** Drains the target of a node, so that it gets no new requests. Immutable. */
     record Drain(NodeId node) implements ConfigurationChange {
 
         @Override
@@ -200,7 +206,7 @@
         }
     }
 
-    /** Lets the target of a node take work again. Immutable. */
+    /** Ends the drain of a node's target, so that it gets requests again. Immutable. */
     record Undrain(NodeId node) implements ConfigurationChange {
 
         @Override
--- a/src/main/java/io/beryldock/configuration/ConfigurationException.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationException.java
@@ -1,6 +1,6 @@
 package io.beryldock.configuration;
 
-/** A setting is not acceptable; the message names the setting, what was expected and the remedy. */
+/** Thrown if a setting is invalid; the message names the setting, the problem and the remedy. */
 public final class ConfigurationException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -18,7 +18,7 @@
         return new ConfigurationException(setting, problem, remedy);
     }
 
-    /** The setting at fault, for example {@code budget default}. */
+    /** Returns the invalid setting, for example {@code budget default}. */
     public String setting() {
         return setting;
     }
--- a/src/main/java/io/beryldock/configuration/ConfigurationHistory.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationHistory.java
@@ -8,40 +8,42 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The accepted changes, with who made them and when: the last {@link ChangeLog#MAX_RECORDS} from this node's memory,
- * earlier ones from the store.
+ * The history of accepted changes, with operator and time: the last {@link ChangeLog#MAX_RECORDS} changes from this
+ * node's memory, earlier changes from the store.
  *
- * <p>Immutable, thread safe. With the store down the answer is what this node remembers.
+ * <p>Immutable, thread safe. While the store is down, only the changes in memory are returned.
  */
 public final class ConfigurationHistory {
 
-    /** The most changes that one question reads from the store. */
-    public static final int MOST = 1024;
+    /** Maximum number of changes that one query reads from the store. */
+    public static final int MAX_CHANGES = 1024;
 
     private final ConfigurationStore reader;
-    private final ConfigurationKeeper keeper;
+    private final ConfigurationKeeper activeConfiguration;
 
-    private ConfigurationHistory(ConfigurationStore reader, ConfigurationKeeper keeper) {
+    private ConfigurationHistory(ConfigurationStore reader, ConfigurationKeeper activeConfiguration) {
         this.reader = reader;
-        this.keeper = keeper;
+        this.activeConfiguration = activeConfiguration;
     }
 
-    public static ConfigurationHistory create(PlatformStore store, TimerService timers, ConfigurationKeeper keeper) {
-        return new ConfigurationHistory(ConfigurationStore.of(TimedStore.of(store, timers)), keeper);
+    public static ConfigurationHistory create(
+            PlatformStore store, TimerService timers, ConfigurationKeeper activeConfiguration) {
+        return new ConfigurationHistory(ConfigurationStore.of(TimedStore.of(store, timers)), activeConfiguration);
     }
 
-    /** The last changes, oldest first, at most so many and at most {@link #MOST}. */
+    /** Returns the last {@code count} changes, but at most {@link #MAX_CHANGES}, oldest first. */
     public CompletableFuture<ImmutableList<ChangeRecord>> last(int count) {
-        int wanted = Math.min(count, MOST);
-        ImmutableList<ChangeRecord> known = keeper.changes();
-        boolean enough = known.size() >= Math.min(wanted, keeper.current().version());
+        int limit = Math.min(count, MAX_CHANGES);
+        ImmutableList<ChangeRecord> known = activeConfiguration.changes();
+        boolean enough =
+                known.size() >= Math.min(limit, activeConfiguration.current().version());
         if (enough) {
-            return CompletableFuture.completedFuture(tail(known, wanted));
+            return CompletableFuture.completedFuture(tail(known, limit));
         }
         return reader.readHead()
-                .thenCompose(head -> head.map(found -> read(found, wanted))
-                        .orElseGet(() -> CompletableFuture.completedFuture(known)))
-                .exceptionally(failure -> tail(known, wanted));
+                .thenCompose(head ->
+                        head.map(found -> read(found, limit)).orElseGet(() -> CompletableFuture.completedFuture(known)))
+                .exceptionally(failure -> tail(known, limit));
     }
 
     private CompletableFuture<ImmutableList<ChangeRecord>> read(StoredHead head, int count) {
@@ -49,19 +51,22 @@
         return reader.changes(head, after).exceptionally(failure -> tail(head.records(), count));
     }
 
-    /** The change of that id, if it is among the last {@link #MOST} accepted: settles what was told to be unknown. */
+    /**
+     * Returns the change with the id if it is among the last {@link #MAX_CHANGES} accepted changes; this shows whether
+     * a change with an unknown outcome was accepted.
+     */
     public CompletableFuture<Optional<ChangeRecord>> find(String changeId) {
-        Optional<ChangeRecord> known = named(changeId, keeper.changes());
+        Optional<ChangeRecord> known = findById(changeId, activeConfiguration.changes());
         if (known.isPresent()) {
             return CompletableFuture.completedFuture(known);
         }
         return reader.readHead()
-                .thenCompose(head -> head.map(found -> read(found, MOST))
+                .thenCompose(head -> head.map(found -> read(found, MAX_CHANGES))
                         .orElseGet(() -> CompletableFuture.completedFuture(ImmutableList.of())))
-                .thenApply(changes -> named(changeId, changes));
+                .thenApply(changes -> findById(changeId, changes));
     }
 
-    private static Optional<ChangeRecord> named(String changeId, List<ChangeRecord> changes) {
+    private static Optional<ChangeRecord> findById(String changeId, List<ChangeRecord> changes) {
         return changes.stream()
                 .filter(change -> change.changeId().equals(changeId))
                 .findFirst();
--- a/src/main/java/io/beryldock/configuration/ConfigurationJson.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationJson.java
@@ -15,7 +15,10 @@
 import java.util.Base64;
 import java.util.List;
 
-/** The JSON form of a configuration: fields in a fixed order, settings in order of their keys. Thread safe. */
+/**
+ * Writes and parses the JSON form of a configuration, with fields in a fixed order and settings in order of their keys.
+ * Thread safe.
+ */
 final class ConfigurationJson {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
--- a/src/main/java/io/beryldock/configuration/ConfigurationKeeper.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationKeeper.java
@@ -11,16 +11,16 @@
 import java.util.function.Consumer;
 
 /**
- * Holds the configuration in force at this node and the last changes that led to it.
+ * Holds the configuration in force at this node and the most recent changes that led to it.
  *
- * <p>Invariants, checked as it runs: the version only rises; one version is one change. Called on the control thread
- * only, but for {@link #current()} and {@link #changes()}, which any thread may call.
+ * <p>Invariants, checked at run time: the version only increases; each version is created by exactly one change.
+ * Confined to the control thread, except {@link #current()} and {@link #changes()}, which any thread may call.
  */
 public final class ConfigurationKeeper {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
-    /** A version that nodes held is never followed by a lower one. */
+    /** Accepts higher versions only; a version in force is never followed by a lower one. */
     static final VersionRule HIGHER_ONLY = (current, next) -> next > current;
 
     private final List<Consumer<Configuration>> listeners = new CopyOnWriteArrayList<>();
@@ -35,7 +35,7 @@
         this.rule = rule;
     }
 
-    /** Starts with the defaults in force. */
+    /** Creates an instance with the defaults in force. */
     public static ConfigurationKeeper create(Configuration defaults, EventSink events) {
         return create(defaults, events, HIGHER_ONLY);
     }
@@ -48,17 +48,17 @@
         return new ConfigurationKeeper(defaults, events, rule);
     }
 
-    /** Which versions may follow which. */
+    /** Decides which version may replace which. */
     @FunctionalInterface
     interface VersionRule {
-        boolean mayFollow(long current, long next);
+        boolean mayReplace(long current, long next);
     }
 
     public Configuration current() {
         return current;
     }
 
-    /** The last changes that this node knows of, oldest first. */
+    /** Returns the most recent changes that this node knows, oldest first. */
     public ImmutableList<ChangeRecord> changes() {
         return changes.records();
     }
@@ -67,35 +67,35 @@
         return changes;
     }
 
-    /** Calls the listener, on the control thread, with each configuration put in force from now on. */
+    /** Registers a listener that is called on the control thread with each configuration put in force from now on. */
     public Subscription onChange(Consumer<Configuration> listener) {
         listeners.add(listener);
         return () -> listeners.remove(listener);
     }
 
     /**
-     * Puts a whole configuration in force if its version is higher; tells whether it did.
+     * Puts a full configuration in force if its version is higher; returns whether it did.
      *
-     * @param recent the last changes up to its version, as far as they are known
+     * @param recent the most recent changes up to its version, as far as they are known
      */
-    boolean take(Configuration next, List<ChangeRecord> recent) {
-        checkSameChanges(next.lineage(), recent);
-        if (!rule.mayFollow(current.version(), next.version())) {
+    boolean adopt(Configuration next, List<ChangeRecord> recent) {
+        checkOneChangePerVersion(next.lineage(), recent);
+        if (!rule.mayReplace(current.version(), next.version())) {
             return false;
         }
-        boolean continues = !recent.isEmpty() && next.lineage().equals(current.lineage());
-        changes = (continues ? changes : ChangeLog.empty()).plus(recent);
+        boolean extendsLog = !recent.isEmpty() && next.lineage().equals(current.lineage());
+        changes = (extendsLog ? changes : ChangeLog.empty()).plus(recent);
         putInForce(next);
         return true;
     }
 
-    /** Puts the changes that continue the version in force on top of it; tells whether the version rose. */
+    /** Applies the changes that directly follow the version in force; returns whether the version increased. */
     boolean apply(String lineage, List<ChangeRecord> records) {
         if (!lineage.equals(current.lineage())) {
             return false;
         }
-        checkSameChanges(lineage, records);
-        ImmutableList<ChangeRecord> next = continuing(current.version(), records);
+        checkOneChangePerVersion(lineage, records);
+        ImmutableList<ChangeRecord> next = contiguousAfter(current.version(), records);
         if (next.isEmpty()) {
             return false;
         }
@@ -104,8 +104,8 @@
         return true;
     }
 
-    /** Those of the records, in order of their versions, that follow the version without a gap. */
-    static ImmutableList<ChangeRecord> continuing(long version, List<ChangeRecord> records) {
+    /** Returns the records, in order of their versions, that follow the version without a gap. */
+    static ImmutableList<ChangeRecord> contiguousAfter(long version, List<ChangeRecord> records) {
         ImmutableList.Builder<ChangeRecord> following = ImmutableList.builder();
         long last = version;
         for (ChangeRecord record : records) {
@@ -119,7 +119,7 @@
 
     private void putInForce(Configuration next) {
         if (next.version() <= current.version()) {
-            throw new IllegalStateException("configuration would fall from " + current + " to " + next);
+            throw new IllegalStateException("configuration must not go back from " + current + " to " + next);
         }
         current = next;
         events.record(EventKind.CONFIGURATION_APPLIED, "version " + next.version(), lastChange());
@@ -136,11 +136,11 @@
     }
 
     /**
-     * Guards against two changes under one version, which would leave nodes with different documents for good. It
-     * would show as a version that nodes agree on and a setting that they don't; the store's order makes it impossible
-     * as long as every version comes from a compare-and-set of the head.
+     * Checks that no version is created by two different changes, which would leave nodes with different documents
+     * permanently: the nodes would agree on the version but not on a setting. The order in the store rules this out as
+     * long as every version is created by a compare-and-set of the head.
      */
-    private void checkSameChanges(String lineage, List<ChangeRecord> records) {
+    private void checkOneChangePerVersion(String lineage, List<ChangeRecord> records) {
         if (!lineage.equals(current.lineage())) {
             return;
         }
@@ -150,7 +150,7 @@
                 String detail = "version " + record.version() + " is change " + record.changeId() + " and "
                         + known.get().changeId();
                 events.record(EventKind.INVARIANT_BROKEN, "configuration", detail);
-                log.atSevere().log("two changes under one version: %s", detail);
+                log.atSevere().log("two different changes created the same configuration version: %s", detail);
                 throw new IllegalStateException(detail);
             }
         }
--- a/src/main/java/io/beryldock/configuration/ConfigurationStore.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationStore.java
@@ -16,7 +16,7 @@
 /**
  * Reads the configuration from the platform store: the head, blocks of earlier changes and snapshots.
  *
- * <p>Immutable, thread safe. The futures fail only with a {@link PlatformException}.
+ * <p>Immutable, thread safe. The futures fail with a {@link PlatformException}.
  */
 final class ConfigurationStore {
 
@@ -44,23 +44,26 @@
     }
 
     /**
-     * The configuration at the head's version, by the shortest way from one that is known: its changes alone if they
-     * reach far enough, else the snapshot.
+     * Loads the configuration at the head's version with as few reads as possible: only the changes since {@code known}
+     * if the store still has them, otherwise the snapshot and the changes since.
      */
-    CompletableFuture<DocumentCodec.Whole> load(StoredHead head, Configuration known) {
-        boolean sameLine = known.lineage().equals(head.lineage()) && known.version() <= head.version();
-        if (sameLine && known.version() >= head.snapshot().version()) {
-            return follow(head, known);
+    CompletableFuture<DocumentCodec.Document> load(StoredHead head, Configuration known) {
+        boolean knownIsAncestor = known.lineage().equals(head.lineage()) && known.version() <= head.version();
+        if (knownIsAncestor && known.version() >= head.snapshot().version()) {
+            return applyChanges(head, known);
         }
-        return snapshot(head).thenCompose(start -> follow(head, start));
+        return snapshot(head).thenCompose(base -> applyChanges(head, base));
     }
 
-    private CompletableFuture<DocumentCodec.Whole> follow(StoredHead head, Configuration start) {
-        return changes(head, start.version())
-                .thenApply(records -> new DocumentCodec.Whole(start.after(records), records));
+    private CompletableFuture<DocumentCodec.Document> applyChanges(StoredHead head, Configuration base) {
+        return changes(head, base.version())
+                .thenApply(records -> new DocumentCodec.Document(base.after(records), records));
     }
 
-    /** All changes after the version up to the head's, oldest first; fails when the store no longer has them all. */
+    /**
+     * Reads all changes after the version up to the head's version, oldest first; fails if the store no longer has them
+     * all.
+     */
     CompletableFuture<ImmutableList<ChangeRecord>> changes(StoredHead head, long after) {
         if (after >= head.reach()) {
             return CompletableFuture.completedFuture(head.after(after));
@@ -85,7 +88,7 @@
                 .filter(record -> record.version() > after && record.version() <= head.reach())
                 .forEach(all::add);
         ImmutableList<ChangeRecord> joined = all.addAll(head.records()).build();
-        ImmutableList<ChangeRecord> following = ConfigurationKeeper.continuing(after, joined);
+        ImmutableList<ChangeRecord> following = ConfigurationKeeper.contiguousAfter(after, joined);
         if (following.size() != head.version() - after) {
             return unreadable("changes after version " + after + " were replaced while they were read");
         }
--- a/src/main/java/io/beryldock/configuration/ConfigurationSync.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationSync.java
@@ -23,71 +23,80 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Brings accepted changes to this node and on to its peers.
+ * Distributes accepted configuration changes to this node and from it to its peers.
  *
- * <p>Called on the control thread only. A few nodes of each data centre watch the store; every node pushes a change
- * that is new to it to its neighbours and compares digests with them. The store may be away for long: what was accepted
- * before goes on spreading from node to node, within and between data centres.
+ * <p>Confined to the control thread. A few nodes of each data centre watch the store; every node pushes a change
+ * that it did not have before to its neighbours, and compares digests with them. Accepted changes continue to spread
+ * from node to node, within and between data centres, even if the store is unavailable for a long time.
  */
 public final class ConfigurationSync {
 
-    /** Time between two digests of a node to a neighbour, and of a watcher to another data centre. */
+    /** Interval of the digests from a node to a neighbour, and from a watcher to another data centre. */
     static final Duration DIGEST_PERIOD = Duration.ofSeconds(2);
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
-    /** Other data centres to which a watcher sends a digest as soon as a version is new to it. */
-    private static final int DIGESTS_ELSEWHERE = 4;
+    /** Number of other data centres to which a watcher sends a digest as soon as it has a new version. */
+    private static final int REMOTE_DIGESTS = 4;
 
-    /** Digests to a neighbour for each one to any node of another data centre, should all watchers fail. */
-    private static final int ELSEWHERE_EVERY = 30;
+    /**
+     * On average, one in this many digest periods also sends a digest to any node of another data centre, in case all
+     * watchers fail.
+     */
+    private static final int REMOTE_DIGEST_EVERY = 30;
 
-    /** Time between two choices of peers, should the directory change all the time. */
-    private static final long CHOICE_NANOS = DIGEST_PERIOD.multipliedBy(2).toNanos();
+    /** Minimum time between two peer selections, which bounds their cost while the directory keeps changing. */
+    private static final long SELECTION_INTERVAL_NANOS =
+            DIGEST_PERIOD.multipliedBy(2).toNanos();
 
-    /** Silence after which a digest asks for an answer, then all neighbours are asked, then the node is alone. */
-    private static final long QUIET_NANOS = Duration.ofSeconds(3).toNanos();
+    /** Time without messages from peers after which a digest requests a reply. */
+    private static final long REQUEST_REPLY_NANOS = Duration.ofSeconds(3).toNanos();
 
-    private static final long QUIETER_NANOS = Duration.ofSeconds(5).toNanos();
-    private static final long ALONE_NANOS = Duration.ofMillis(6500).toNanos();
+    /** Time without messages from peers after which all neighbours get a digest that requests a reply. */
+    private static final long REQUEST_ALL_REPLIES_NANOS = Duration.ofSeconds(5).toNanos();
+    /** Time without messages from peers after which the node counts as isolated. */
+    private static final long ISOLATED_NANOS = Duration.ofMillis(6500).toNanos();
 
-    private static final int LOG_SECONDS = 10;
+    private static final int LOG_INTERVAL_SECONDS = 10;
 
-    private static final long PAUSED_NANOS = DIGEST_PERIOD.multipliedBy(2).toNanos();
+    private static final long PAUSE_NANOS = DIGEST_PERIOD.multipliedBy(2).toNanos();
 
     private final NodeDescriptor self;
-    private final ConfigurationKeeper keeper;
+    private final ConfigurationKeeper activeConfiguration;
     private final Ports ports;
     private final StoreWatch watch;
     private final DigestExchange digests;
-    private final WholeExchange wholes;
+    private final DocumentTransfer transfers;
     private final InForceSurvey survey;
     private final StartWait startWait;
     private final List<Subscription> subscriptions = new ArrayList<>();
-    private PeerChoice choice;
-    private long pushed;
-    private long lastTick;
-    private long lastHeard;
-    private long chosenAt;
+    private PeerSelection selection;
+    private long pushedVersion;
+    private long lastTickAt;
+    private long lastMessageAt;
+    private long selectedAt;
 
-    private ConfigurationSync(NodeDescriptor self, ConfigurationKeeper keeper, Ports ports) {
+    private ConfigurationSync(NodeDescriptor self, ConfigurationKeeper activeConfiguration, Ports ports) {
         this.self = self;
-        this.keeper = keeper;
+        this.activeConfiguration = activeConfiguration;
         this.ports = ports;
-        choice = PeerChoice.of(self, Directory.empty());
+        selection = PeerSelection.of(self, Directory.empty());
         Messenger messenger = Messenger.of(ports.transport(), self.peerAddress());
-        watch = StoreWatch.create(keeper, ports);
-        wholes = WholeExchange.create(keeper, messenger, ports.timers().ticker());
-        digests = DigestExchange.create(keeper, messenger, ports.timers().ticker(), wholes::fetch);
-        survey = InForceSurvey.create(self, keeper, messenger, this::choice, ports.timers(), ports.random());
-        startWait = StartWait.create(keeper, watch, ports);
+        watch = StoreWatch.create(activeConfiguration, ports);
+        transfers = DocumentTransfer.create(
+                activeConfiguration, messenger, ports.timers().ticker());
+        digests = DigestExchange.create(
+                activeConfiguration, messenger, ports.timers().ticker(), transfers::fetch);
+        survey = InForceSurvey.create(
+                self, activeConfiguration, messenger, this::selection, ports.timers(), ports.random());
+        startWait = StartWait.create(activeConfiguration, watch, ports);
     }
 
     /**
-     * What the synchronisation is given from outside. Immutable.
+     * Collaborators of the synchronisation. Immutable.
      *
-     * @param directory nodes believed alive, this one among them or not
-     * @param seeds peer addresses to ask while the directory is empty
+     * @param directory nodes believed to be alive, with or without this node
+     * @param seeds peer addresses that get digests while the directory is empty
      * @param timers runs its tasks on the control thread
      * @param control runs tasks on the control thread
      */
@@ -101,39 +110,41 @@
             RandomGenerator random,
             EventSink events) {}
 
-    public static ConfigurationSync create(NodeDescriptor self, ConfigurationKeeper keeper, Ports ports) {
-        return new ConfigurationSync(self, keeper, ports);
+    public static ConfigurationSync create(NodeDescriptor self, ConfigurationKeeper activeConfiguration, Ports ports) {
+        return new ConfigurationSync(self, activeConfiguration, ports);
     }
 
     /**
-     * Begins; completes when the store or enough peers have told the highest version and it is in force here, or after
-     * {@link StartWait#LONGEST}. The node should serve on its defaults only then.
+     * Starts the synchronisation. The returned future completes when the store or enough peers have reported the
+     * highest version and that version is in force here, or after {@link StartWait#MAX_WAIT}. Until then the node
+     * should not serve with its defaults.
      */
     public CompletableFuture<StartReport> start() {
-        lastTick = ports.timers().ticker().nanos();
-        lastHeard = lastTick;
-        chosenAt = lastTick - CHOICE_NANOS;
-        subscriptions.add(keeper.onChange(this::spread));
-        refreshChoice();
+        lastTickAt = ports.timers().ticker().nanos();
+        lastMessageAt = lastTickAt;
+        selectedAt = lastTickAt - SELECTION_INTERVAL_NANOS;
+        subscriptions.add(activeConfiguration.onChange(this::propagate));
+        refreshSelection();
         long jitter = ports.random().nextLong(DIGEST_PERIOD.toNanos());
-        subscriptions.add(ports.timers().after(Duration.ofNanos(jitter), this::beginTicks));
-        return startWait.begin(firstPeers(), peer -> digests.sendDigest(peer, true));
+        subscriptions.add(ports.timers().after(Duration.ofNanos(jitter), this::startTicks));
+        return startWait.begin(startPeers(), peer -> digests.sendDigest(peer, true));
     }
 
-    private void beginTicks() {
+    private void startTicks() {
         subscriptions.add(ports.timers().every(DIGEST_PERIOD, this::tick));
     }
 
-    /** Ends all timers; a store call under way ends by itself. */
+    /** Stops all timers; a store call under way ends on its own. */
     public void stop() {
-        watch.want(false);
+        watch.setWatching(false);
         subscriptions.forEach(Subscription::cancel);
         subscriptions.clear();
     }
 
-    private ImmutableList<InetSocketAddress> firstPeers() {
-        ImmutableList<InetSocketAddress> neighbours =
-                choice.neighbours().stream().map(NodeDescriptor::peerAddress).collect(ImmutableList.toImmutableList());
+    private ImmutableList<InetSocketAddress> startPeers() {
+        ImmutableList<InetSocketAddress> neighbours = selection.neighbours().stream()
+                .map(NodeDescriptor::peerAddress)
+                .collect(ImmutableList.toImmutableList());
         if (!neighbours.isEmpty()) {
             return neighbours;
         }
@@ -142,89 +153,88 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private PeerChoice choice() {
-        return choice;
+    private PeerSelection selection() {
+        return selection;
     }
 
-    private void refreshChoice() {
+    private void refreshSelection() {
         long now = ports.timers().ticker().nanos();
         Directory directory = ports.directory().get();
-        if (directory != choice.directory() && now - chosenAt >= CHOICE_NANOS) {
-            choice = choice.next(directory);
-            chosenAt = now;
+        if (directory != selection.directory() && now - selectedAt >= SELECTION_INTERVAL_NANOS) {
+            selection = selection.next(directory);
+            selectedAt = now;
         }
-        watch.want(choice.watcher() || silence() > ALONE_NANOS);
+        watch.setWatching(selection.watcher() || nanosWithoutMessage() > ISOLATED_NANOS);
     }
 
-    /** Time since a peer was heard of. */
-    private long silence() {
-        return ports.timers().ticker().nanos() - lastHeard;
+    /** Returns the time since the last message from a peer, in nanoseconds. */
+    private long nanosWithoutMessage() {
+        return ports.timers().ticker().nanos() - lastMessageAt;
     }
 
     private void tick() {
-        refreshChoice();
-        noteTick();
-        tellNeighbours();
-        choice.watchersElsewhere(1, ports.random()).forEach(this::sendDigest);
-        if (silence() > ALONE_NANOS || ports.random().nextInt(ELSEWHERE_EVERY) == 0) {
-            choice.anyElsewhere(ports.random()).ifPresent(this::sendDigest);
+        refreshSelection();
+        detectPause();
+        sendNeighbourDigests();
+        selection.remoteWatchers(1, ports.random()).forEach(this::sendDigest);
+        if (nanosWithoutMessage() > ISOLATED_NANOS || ports.random().nextInt(REMOTE_DIGEST_EVERY) == 0) {
+            selection.anyRemoteNode(ports.random()).ifPresent(this::sendDigest);
         }
-        if (choice.neighbours().isEmpty()) {
+        if (selection.neighbours().isEmpty()) {
             ports.seeds().get().forEach(digests::sendDigest);
         }
-        wholes.tick();
+        transfers.releaseIdle();
     }
 
     /**
-     * Sends a digest to a neighbour, or more when it is quiet.
+     * Sends a digest to a neighbour, or to all neighbours if no messages arrive.
      *
-     * <p>Guards against a node whose neighbours are gone, or can't reach it, before the directory says so: it would
-     * show as one node that goes on by old settings. Peers with nothing new say nothing, so silence alone does not
-     * tell; but when neighbours that are asked for an answer give none, the node is alone: it watches the store itself
-     * and asks other data centres.
+     * <p>Guards against a node whose neighbours have failed or cannot reach it before the directory shows this: the
+     * node would continue with old settings. Peers without changes send nothing, so missing messages alone do not show
+     * a failure. If neighbours that are asked for a reply send none, however, the node is isolated: it then watches the
+     * store itself and sends digests to other data centres.
      */
-    private void tellNeighbours() {
-        if (silence() > QUIETER_NANOS) {
-            choice.neighbours().forEach(peer -> digests.sendDigest(peer.peerAddress(), true));
+    private void sendNeighbourDigests() {
+        if (nanosWithoutMessage() > REQUEST_ALL_REPLIES_NANOS) {
+            selection.neighbours().forEach(peer -> digests.sendDigest(peer.peerAddress(), true));
             return;
         }
-        boolean quiet = silence() > QUIET_NANOS;
-        choice.neighbour(ports.random()).ifPresent(peer -> digests.sendDigest(peer.peerAddress(), quiet));
+        boolean requestReply = nanosWithoutMessage() > REQUEST_REPLY_NANOS;
+        selection.neighbour(ports.random()).ifPresent(peer -> digests.sendDigest(peer.peerAddress(), requestReply));
     }
 
     /**
-     * Guards against a node that was paused, with its VM or process, and goes on with settings of long ago: it would
-     * show as calls that are routed by an old document until the next digest. The gap between two ticks gives it away,
-     * and all neighbours are asked at once.
+     * Detects that the node was paused, with its VM or process, by the gap between two ticks, and then sends a digest
+     * to all neighbours at once. Without it, the node would route calls by an outdated document until its next digest.
      */
-    private void noteTick() {
+    private void detectPause() {
         long now = ports.timers().ticker().nanos();
-        if (now - lastTick > PAUSED_NANOS) {
-            choice.neighbours().forEach(this::sendDigest);
+        if (now - lastTickAt > PAUSE_NANOS) {
+            selection.neighbours().forEach(this::sendDigest);
         }
-        lastTick = now;
+        lastTickAt = now;
     }
 
     private void sendDigest(NodeDescriptor peer) {
         digests.sendDigest(peer.peerAddress());
     }
 
-    private void spread(Configuration next) {
-        long after = pushed == 0 ? next.version() - 1 : pushed;
-        pushed = next.version();
-        digests.push(after, choice.neighbours());
-        choice.watchersElsewhere(DIGESTS_ELSEWHERE, ports.random()).forEach(this::sendDigest);
+    private void propagate(Configuration next) {
+        long after = pushedVersion == 0 ? next.version() - 1 : pushedVersion;
+        pushedVersion = next.version();
+        digests.push(after, selection.neighbours());
+        selection.remoteWatchers(REMOTE_DIGESTS, ports.random()).forEach(this::sendDigest);
     }
 
-    /** Takes a message of another node. */
+    /** Handles a message from another node. */
     public void onMessage(NodeId sender, ByteString bytes) {
         try {
             Messenger.Received received = Messenger.read(bytes);
-            lastHeard = ports.timers().ticker().nanos();
+            lastMessageAt = ports.timers().ticker().nanos();
             dispatch(received.from(), received.message());
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-            log.atWarning().atMostEvery(LOG_SECONDS, TimeUnit.SECONDS).log(
-                    "an unreadable configuration message from %s is dropped: %s", sender, e.getMessage());
+            log.atWarning().atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+                    "dropping an unreadable configuration message from %s: %s", sender, e.getMessage());
         }
     }
 
@@ -235,15 +245,18 @@
                 startWait.onDigest(from, message.getDigest().getVersion());
             }
             case PUSH -> digests.onPush(from, message.getPush());
-            case WHOLE_REQUEST -> wholes.onRequest(from, message.getWholeRequest());
-            case PART -> wholes.onPart(from, message.getPart());
+            case WHOLE_REQUEST -> transfers.onRequest(from, message.getWholeRequest());
+            case PART -> transfers.onPart(from, message.getPart());
             case SURVEY -> survey.onSurvey(from, message.getSurvey());
             case SURVEY_REPLY -> survey.onReply(message.getSurveyReply());
-            case BODY_NOT_SET -> log.atFine().log("a message of a later release is dropped");
+            case BODY_NOT_SET ->
+                log.atFine().log("dropping a configuration message of a type that this release does not support");
         }
     }
 
-    /** Asks how far the version has spread, again and again until it is everywhere or the time is over. */
+    /**
+     * Surveys repeatedly on which nodes the version is in force, until it is in force on all nodes or the time is over.
+     */
     public CompletableFuture<InForceReport> awaitInForce(long version, Duration time) {
         return survey.await(version, time);
     }
--- a/src/main/java/io/beryldock/configuration/ConfigurationTransport.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationTransport.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ByteString;
 import java.net.InetSocketAddress;
 
-/** Sends one-way messages about the configuration to other nodes; a message may be lost, doubled or late. */
+/** Sends one-way configuration messages to other nodes; a message may be lost, duplicated or delayed. */
 @FunctionalInterface
 public interface ConfigurationTransport {
 
--- a/src/main/java/io/beryldock/configuration/ConfigurationWriter.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationWriter.java
@@ -10,14 +10,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Writes operators' changes into the platform store.
+ * Writes operators' configuration changes to the platform store.
  *
- * <p>Thread safe: its steps run on the control thread. A change that it calls accepted is in the store at the version
- * that it names and in every later one; when it can't tell, it says unknown and gives the change id.
+ * <p>Thread safe: the steps of a write run on the control thread. A change that is reported as accepted is in the store
+ * at the reported version and in every later version. If the outcome of a write cannot be determined, the result is
+ * {@link ChangeResult.Unknown} with the change id.
  */
 public final class ConfigurationWriter {
 
-    /** Stands for the version in force at this node as what the operator saw. */
+    /** Value of {@code basedOnVersion} that stands for the version in force at this node. */
     public static final long VERSION_IN_FORCE = -1;
 
     private final WriterContext context;
@@ -26,36 +27,38 @@
         this.context = context;
     }
 
-    /** What the writer is given from outside. Immutable. */
+    /** Collaborators of the writer. Immutable. */
     public record Ports(
             Executor control, TimerService timers, InstantSource clock, RandomGenerator random, EventSink events) {}
 
-    public static ConfigurationWriter create(PlatformStore store, ConfigurationKeeper keeper, Ports ports) {
-        return new ConfigurationWriter(WriterContext.of(TimedStore.of(store, ports.timers()), keeper, ports));
+    public static ConfigurationWriter create(
+            PlatformStore store, ConfigurationKeeper activeConfiguration, Ports ports) {
+        return new ConfigurationWriter(
+                WriterContext.of(TimedStore.of(store, ports.timers()), activeConfiguration, ports));
     }
 
     /**
-     * Writes a change; completes within some {@link Submission#MOST_SECONDS} seconds whatever the store does.
+     * Writes a change; completes within about {@link Submission#MAX_SECONDS} seconds, however the store behaves.
      *
-     * @param operator who asks for it, for the history
-     * @param basedOnVersion the version that the operator saw, or {@link #VERSION_IN_FORCE}
+     * @param operator name of the operator who submits the change, for the history
+     * @param basedOnVersion the version that the operator based the change on, or {@link #VERSION_IN_FORCE}
      */
     public CompletableFuture<ChangeResult> submit(ConfigurationChange change, String operator, long basedOnVersion) {
         return onControl(
                 () -> Submission.of(context, change, operator, basedOnVersion).run());
     }
 
-    /** Checks a change against the newest configuration and writes nothing. */
+    /** Checks a change against the newest configuration without writing it. */
     public CompletableFuture<ChangeResult> dryRun(ConfigurationChange change, long basedOnVersion) {
         return onControl(
                 () -> Submission.of(context, change, "dry-run", basedOnVersion).check());
     }
 
     /**
-     * Gives the store back what this node has, for a store that lost accepted changes.
+     * Writes this node's configuration to a store that has lost accepted changes.
      *
-     * <p>Refused while the store holds this node's version or a higher one. The document goes under a new lineage and a
-     * version above all that any node can hold.
+     * <p>Rejected while the store holds this node's version or a higher one. The document is written under a new
+     * lineage and with a version higher than any that a node can hold.
      */
     public CompletableFuture<ChangeResult> restore(String operator) {
         return onControl(() -> StoreRestore.of(context, operator).run());
--- a/src/main/java/io/beryldock/configuration/DefaultSettings.java
+++ b/src/main/java/io/beryldock/configuration/DefaultSettings.java
@@ -7,20 +7,20 @@
 import java.time.Duration;
 import java.util.List;
 
-/** The settings that a deployment starts with, before an operator has changed any. Stateless, thread safe. */
+/** The built-in settings of each deployment, in force until an operator changes them. Stateless, thread safe. */
 final class DefaultSettings {
 
-    private static final String NO_RETRIES = "none";
+    private static final String NO_RETRY_BUDGET = "none";
     private static final int DEFAULT_RETRIES = 3;
     private static final double DEFAULT_SHARE = 0.1;
-    private static final Duration PAGE_TIME = Duration.ofSeconds(3);
-    private static final Duration ORDER_TIME = Duration.ofSeconds(10);
-    private static final ImmutableSet<String> WRITES = ImmutableSet.of("POST", "PUT", "PATCH", "DELETE");
-    private static final int VISIBLE_PAGE = 3;
-    private static final int SEARCH = 4;
-    private static final int STATUS = 2;
-    private static final int LOGS = 4;
-    private static final int INNER = 5;
+    private static final Duration PAGE_DEADLINE = Duration.ofSeconds(3);
+    private static final Duration ORDER_DEADLINE = Duration.ofSeconds(10);
+    private static final ImmutableSet<String> WRITE_METHODS = ImmutableSet.of("POST", "PUT", "PATCH", "DELETE");
+    private static final int PAGE_RANK = 3;
+    private static final int SEARCH_RANK = 4;
+    private static final int STATUS_RANK = 2;
+    private static final int LOGS_RANK = 4;
+    private static final int INNER_RANK = 5;
 
     private DefaultSettings() {}
 
@@ -38,8 +38,8 @@
     private static List<Setting> common() {
         return List.of(
                 new RetrySetting(RetrySetting.STANDARD, DEFAULT_RETRIES, DEFAULT_SHARE),
-                new RetrySetting(NO_RETRIES, 0, 0),
-                rank("inner", INNER),
+                new RetrySetting(NO_RETRY_BUDGET, 0, 0),
+                rank("inner", INNER_RANK),
                 rank("browsing", PriorityClass.LOWEST_RANK));
     }
 
@@ -47,7 +47,7 @@
         return ImmutableList.<Setting>builder()
                 .addAll(common())
                 .add(rank("order", 0), rank("reservation", 0))
-                .add(rank("page", VISIBLE_PAGE), rank("availability", VISIBLE_PAGE), rank("search", SEARCH))
+                .add(rank("page", PAGE_RANK), rank("availability", PAGE_RANK), rank("search", SEARCH_RANK))
                 .add(read("/lists", "lists", "page"))
                 .add(write("/lists", "lists", "page"))
                 .add(read("/search", "catalogue", "search"))
@@ -65,7 +65,7 @@
     private static List<Setting> karriEmber() {
         return ImmutableList.<Setting>builder()
                 .addAll(common())
-                .add(rank("start", 0), rank("status", STATUS), rank("logs", LOGS))
+                .add(rank("start", 0), rank("status", STATUS_RANK), rank("logs", LOGS_RANK))
                 .add(read("/status", "statusboard", "status"))
                 .add(read("/programmes", "recipebook", "browsing"))
                 .add(read("/recipes", "recipebook", "browsing"))
@@ -86,12 +86,18 @@
                 ServiceName.of(service),
                 priorityClass,
                 true,
-                PAGE_TIME,
+                PAGE_DEADLINE,
                 RetrySetting.STANDARD);
     }
 
     private static Setting write(String prefix, String service, String priorityClass) {
         return new Route(
-                prefix, WRITES, ServiceName.of(service), priorityClass, false, ORDER_TIME, RetrySetting.STANDARD);
+                prefix,
+                WRITE_METHODS,
+                ServiceName.of(service),
+                priorityClass,
+                false,
+                ORDER_DEADLINE,
+                RetrySetting.STANDARD);
     }
 }
--- a/src/main/java/io/beryldock/configuration/DigestExchange.java
+++ b/src/main/java/io/beryldock/configuration/DigestExchange.java
@@ -13,85 +13,93 @@
 import java.util.function.Consumer;
 
 /**
- * Spreads changes among nodes: a new one is pushed to the neighbours at once, and digests of what a node has, sent now
- * and then, find out what was lost.
+ * Distributes changes between nodes: new changes are pushed to the neighbours at once, and periodic digests of the held
+ * version detect lost pushes.
  *
- * <p>On the control thread only. A digest is answered by a node that has more, with the missing changes, and by one
- * that has less, with its own digest; nodes that have the same say nothing more.
+ * <p>Confined to the control thread. A node that receives a digest with a lower version replies with the missing
+ * changes; a node that receives one with a higher version replies with its own digest. Nodes with the same version do
+ * not reply, unless a reply is requested.
  */
 final class DigestExchange {
 
-    /** Changes in one message. */
+    /** Maximum number of changes in one message. */
     static final int MAX_PUSH = 64;
 
-    private static final int MAX_KNOWN = 64;
-    private static final long ASK_AGAIN_NANOS = Duration.ofMillis(300).toNanos();
+    private static final int MAX_KNOWN_PEERS = 64;
+    private static final long REQUEST_INTERVAL_NANOS = Duration.ofMillis(300).toNanos();
 
-    private final ConfigurationKeeper keeper;
+    private final ConfigurationKeeper activeConfiguration;
     private final Messenger messenger;
     private final Ticker ticker;
-    private final Consumer<InetSocketAddress> fetchWhole;
-    private final Map<InetSocketAddress, Long> known = new LinkedHashMap<>(MAX_KNOWN, 0.75f, true) {
+    private final Consumer<InetSocketAddress> fetchDocument;
+    private final Map<InetSocketAddress, Long> knownVersions = new LinkedHashMap<>(MAX_KNOWN_PEERS, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<InetSocketAddress, Long> eldest) {
-            return size() > MAX_KNOWN;
+            return size() > MAX_KNOWN_PEERS;
         }
     };
-    private long askedAt = Long.MIN_VALUE / 2;
-    private long askedFor = -1;
+    private long requestedAt = Long.MIN_VALUE / 2;
+    private long requestedVersion = -1;
 
     private DigestExchange(
-            ConfigurationKeeper keeper, Messenger messenger, Ticker ticker, Consumer<InetSocketAddress> fetchWhole) {
-        this.keeper = keeper;
+            ConfigurationKeeper activeConfiguration,
+            Messenger messenger,
+            Ticker ticker,
+            Consumer<InetSocketAddress> fetchDocument) {
+        this.activeConfiguration = activeConfiguration;
         this.messenger = messenger;
         this.ticker = ticker;
-        this.fetchWhole = fetchWhole;
+        this.fetchDocument = fetchDocument;
     }
 
     /**
-     * Makes an exchange.
+     * Creates an exchange.
      *
-     * @param fetchWhole gets the whole document from a peer whose changes don't reach back far enough
+     * @param fetchDocument fetches the full document from a peer whose change log does not reach back far enough
      */
     static DigestExchange create(
-            ConfigurationKeeper keeper, Messenger messenger, Ticker ticker, Consumer<InetSocketAddress> fetchWhole) {
-        return new DigestExchange(keeper, messenger, ticker, fetchWhole);
+            ConfigurationKeeper activeConfiguration,
+            Messenger messenger,
+            Ticker ticker,
+            Consumer<InetSocketAddress> fetchDocument) {
+        return new DigestExchange(activeConfiguration, messenger, ticker, fetchDocument);
     }
 
-    /** Tells the neighbours of changes after the version, but for those known to have them. */
+    /** Pushes the changes after the version to the neighbours, except those known to have them. */
     void push(long after, ImmutableList<NodeDescriptor> neighbours) {
         for (NodeDescriptor neighbour : neighbours) {
             InetSocketAddress peer = neighbour.peerAddress();
-            if (known.getOrDefault(peer, 0L) < keeper.current().version()) {
+            if (knownVersions.getOrDefault(peer, 0L)
+                    < activeConfiguration.current().version()) {
                 sendChanges(peer, after);
             }
         }
     }
 
-    /** Tells the peer what this node has. */
+    /** Sends the peer a digest of this node's version. */
     void sendDigest(InetSocketAddress peer) {
         sendDigest(peer, false);
     }
 
-    /** Tells the peer what this node has, and maybe wants an answer in any case. */
-    void sendDigest(InetSocketAddress peer, boolean answer) {
-        Configuration current = keeper.current();
+    /** Sends the peer a digest of this node's version, optionally with a request for a reply in any case. */
+    void sendDigest(InetSocketAddress peer, boolean requestReply) {
+        Configuration current = activeConfiguration.current();
         ConfigurationDigest digest = ConfigurationDigest.newBuilder()
                 .setVersion(current.version())
                 .setLineage(current.lineage())
-                .setReach(keeper.changeLog().reach(current.version()))
-                .setAnswer(answer)
+                .setReach(activeConfiguration.changeLog().reach(current.version()))
+                .setAnswer(requestReply)
                 .build();
         messenger.send(peer, ConfigurationMessage.newBuilder().setDigest(digest));
     }
 
     void onDigest(InetSocketAddress peer, ConfigurationDigest digest) {
-        known.put(peer, digest.getVersion());
-        Configuration current = keeper.current();
+        knownVersions.put(peer, digest.getVersion());
+        Configuration current = activeConfiguration.current();
         if (digest.getVersion() < current.version()) {
-            answerBehind(peer, digest);
+            answerOlder(peer, digest);
         } else if (digest.getVersion() > current.version()) {
             catchUp(peer, digest);
         } else if (digest.getAnswer()) {
@@ -99,9 +107,9 @@
         }
     }
 
-    private void answerBehind(InetSocketAddress peer, ConfigurationDigest digest) {
-        Configuration current = keeper.current();
-        boolean reaches = digest.getVersion() >= keeper.changeLog().reach(current.version());
+    private void answerOlder(InetSocketAddress peer, ConfigurationDigest digest) {
+        Configuration current = activeConfiguration.current();
+        boolean reaches = digest.getVersion() >= activeConfiguration.changeLog().reach(current.version());
         if (reaches && digest.getLineage().equals(current.lineage())) {
             sendChanges(peer, digest.getVersion());
         } else {
@@ -110,37 +118,40 @@
     }
 
     private void catchUp(InetSocketAddress peer, ConfigurationDigest digest) {
-        Configuration current = keeper.current();
+        Configuration current = activeConfiguration.current();
         if (digest.getReach() <= current.version() && digest.getLineage().equals(current.lineage())) {
-            ask(peer);
+            requestChanges(peer);
         } else {
-            fetchWhole.accept(peer);
+            fetchDocument.accept(peer);
         }
     }
 
-    /** Asks for what is missing, not more than once for one version within a moment: several peers offer it. */
-    private void ask(InetSocketAddress peer) {
+    /**
+     * Requests the missing changes, at most once per version within a short interval, because several peers offer the
+     * same changes.
+     */
+    private void requestChanges(InetSocketAddress peer) {
         long now = ticker.nanos();
-        long version = keeper.current().version();
-        if (version == askedFor && now - askedAt < ASK_AGAIN_NANOS) {
+        long version = activeConfiguration.current().version();
+        if (version == requestedVersion && now - requestedAt < REQUEST_INTERVAL_NANOS) {
             return;
         }
-        askedFor = version;
-        askedAt = now;
+        requestedVersion = version;
+        requestedAt = now;
         sendDigest(peer);
     }
 
     private void sendChanges(InetSocketAddress peer, long after) {
-        Configuration current = keeper.current();
-        ImmutableList<ChangeRecord> records = keeper.changeLog().after(after, MAX_PUSH);
+        Configuration current = activeConfiguration.current();
+        ImmutableList<ChangeRecord> records = activeConfiguration.changeLog().after(after, MAX_PUSH);
         if (records.isEmpty() || records.get(0).version() != after + 1) {
             sendDigest(peer);
             return;
         }
-        known.put(
+        knownVersions.put(
                 peer,
                 Math.max(
-                        known.getOrDefault(peer, 0L),
+                        knownVersions.getOrDefault(peer, 0L),
                         records.get(records.size() - 1).version()));
         ConfigurationPush push = ConfigurationPush.newBuilder()
                 .setLineage(current.lineage())
@@ -155,11 +166,11 @@
             return;
         }
         long last = records.get(records.size() - 1).version();
-        known.put(peer, last);
-        boolean risen = keeper.apply(push.getLineage(), records);
-        boolean gap = last > keeper.current().version();
-        if (gap || (risen && records.size() == MAX_PUSH)) {
-            ask(peer);
+        knownVersions.put(peer, last);
+        boolean increased = activeConfiguration.apply(push.getLineage(), records);
+        boolean gap = last > activeConfiguration.current().version();
+        if (gap || (increased && records.size() == MAX_PUSH)) {
+            requestChanges(peer);
         }
     }
 }
--- a/src/main/java/io/beryldock/configuration/DocumentCodec.java
+++ b/src/main/java/io/beryldock/configuration/DocumentCodec.java
@@ -13,16 +13,19 @@
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
 
-/** Whole documents as compressed bytes, cut into parts and joined again. Stateless, thread safe. */
+/** Encodes full documents as compressed bytes, splits them into parts and joins the parts. Stateless, thread safe. */
 final class DocumentCodec {
 
-    /** Larger documents are not read: a corrupt or hostile part must not fill the memory of a node. */
+    /**
+     * Maximum size of a decompressed document; the limit keeps a corrupt or hostile part from exhausting a node's
+     * memory.
+     */
     static final int MAX_DOCUMENT_BYTES = 32 << 20;
 
     private DocumentCodec() {}
 
-    /** A whole document and the changes that led to it. Immutable. */
-    record Whole(Configuration configuration, ImmutableList<ChangeRecord> recent) {}
+    /** A full document and the most recent changes that led to it. Immutable. */
+    record Document(Configuration configuration, ImmutableList<ChangeRecord> recent) {}
 
     static ByteString encode(Configuration configuration, List<ChangeRecord> recent) {
         ConfigurationDocument.Builder document = ConfigurationDocument.newBuilder()
@@ -43,28 +46,28 @@
         return bytes.toByteString();
     }
 
-    /** Reads a document; an {@link IOException} tells that the bytes are not one. */
-    static Whole decode(ByteString bytes) throws IOException {
+    /** Decodes a document; throws an {@link IOException} if the bytes are not a valid document. */
+    static Document decode(ByteString bytes) throws IOException {
         try (InputStream in = new GZIPInputStream(bytes.newInput())) {
-            byte[] plain = ByteStreams.limit(in, MAX_DOCUMENT_BYTES).readAllBytes();
-            return decode(ConfigurationDocument.parseFrom(plain));
+            byte[] decompressed = ByteStreams.limit(in, MAX_DOCUMENT_BYTES).readAllBytes();
+            return decode(ConfigurationDocument.parseFrom(decompressed));
         } catch (IllegalArgumentException e) {
             throw new IOException("not a configuration: " + e.getMessage(), e);
         }
     }
 
-    private static Whole decode(ConfigurationDocument document) {
+    private static Document decode(ConfigurationDocument document) {
         List<Setting> settings =
                 document.getEntriesList().stream().map(SettingCodec::setting).toList();
         Configuration configuration = Configuration.of(document.getLineage(), document.getVersion(), settings);
-        return new Whole(configuration, RecordCodec.decode(document.getRecentList()));
+        return new Document(configuration, RecordCodec.decode(document.getRecentList()));
     }
 
     static long hash(ByteString bytes) {
         return Hashing.murmur3_128().hashBytes(bytes.asReadOnlyByteBuffer()).asLong();
     }
 
-    static ImmutableList<ConfigurationPart> cut(long version, ByteString bytes, int partBytes) {
+    static ImmutableList<ConfigurationPart> split(long version, ByteString bytes, int partBytes) {
         long hash = hash(bytes);
         int count = Math.max(1, (bytes.size() + partBytes - 1) / partBytes);
         ImmutableList.Builder<ConfigurationPart> parts = ImmutableList.builder();
@@ -81,8 +84,11 @@
         return parts.build();
     }
 
-    /** Joins all parts of a document, in order; fails when they are not those of one. */
-    static Whole join(List<ConfigurationPart> parts) throws IOException {
+    /**
+     * Joins all parts of a document, in order; throws an {@link IOException} if the parts do not belong to one
+     * document.
+     */
+    static Document join(List<ConfigurationPart> parts) throws IOException {
         ByteString bytes = ByteString.EMPTY;
         for (ConfigurationPart part : parts) {
             bytes = bytes.concat(part.getContent());
--- a/src/main/java/io/beryldock/configuration/DocumentDecoder.java
+++ b/src/main/java/io/beryldock/configuration/DocumentDecoder.java
@@ -2,10 +2,10 @@
 
 import com.google.protobuf.ByteString;
 
-/** Reads a document that operators keep outside the product. */
+/** Decodes a document that operators maintain outside the product. */
 @FunctionalInterface
 public interface DocumentDecoder {
 
-    /** The document's settings at its version; fails when it can't be read. */
+    /** Returns the settings of the document at its version; throws if the document is unreadable. */
     Configuration decode(ByteString document) throws ConfigurationException;
 }
--- a/src/main/java/io/beryldock/configuration/DocumentSync.java
+++ b/src/main/java/io/beryldock/configuration/DocumentSync.java
@@ -9,30 +9,34 @@
 import java.util.Optional;
 
 /**
- * Keeps this node at the operators' newest document in the store.
+ * Keeps this node at the newest version of the operators' document in the store.
  *
- * <p>Control thread only, but for {@link #verifiedAgeNanos()}, which any thread may call. Invariant: the version in
- * force never falls in one life of the process, whoever tells of a document.
+ * <p>Confined to the control thread, except {@link #verifiedAgeNanos()}, which any thread may call. Invariant: the
+ * version in force never decreases during the lifetime of the process, whatever the source of a document.
  */
 public final class DocumentSync {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
-    /** Pause between two watches; a document is replaced seldom, and late news of it costs more than a call. */
-    private static final Duration GATHER = Duration.ofMillis(20);
+    /** Pause between two watches. Documents are replaced rarely, and a delayed update costs more than a store call. */
+    private static final Duration WATCH_PAUSE = Duration.ofMillis(20);
 
-    private final ConfigurationKeeper keeper;
+    private final ConfigurationKeeper activeConfiguration;
     private final StoreSharing sharing;
     private final String key;
     private final DocumentDecoder decoder;
     private final boolean verified;
 
-    /** Set once by the control thread, asked by traffic threads. */
+    /** Set once by the control thread, read by request threads. */
     private volatile StoreSharing.Verification verification = Optional::empty;
 
     private DocumentSync(
-            ConfigurationKeeper keeper, StoreSharing sharing, String key, DocumentDecoder decoder, boolean verified) {
-        this.keeper = keeper;
+            ConfigurationKeeper activeConfiguration,
+            StoreSharing sharing,
+            String key,
+            DocumentDecoder decoder,
+            boolean verified) {
+        this.activeConfiguration = activeConfiguration;
         this.sharing = sharing;
         this.key = key;
         this.decoder = decoder;
@@ -40,39 +44,45 @@
     }
 
     /**
-     * A synchronisation that has not started.
+     * Creates a synchronisation that is not started yet.
      *
      * @param key under which the store holds the document
-     * @param verified whether it is to be known for how long the document has surely been the newest; it costs
-     *     the store a reading a second and data centre
+     * @param verified whether to track how long ago the document was verified to be the newest; this costs the store
+     *     one read per second and data centre
      */
     public static DocumentSync create(
-            ConfigurationKeeper keeper, StoreSharing sharing, String key, DocumentDecoder decoder, boolean verified) {
-        return new DocumentSync(keeper, sharing, key, decoder, verified);
+            ConfigurationKeeper activeConfiguration,
+            StoreSharing sharing,
+            String key,
+            DocumentDecoder decoder,
+            boolean verified) {
+        return new DocumentSync(activeConfiguration, sharing, key, decoder, verified);
     }
 
-    /** Reads the document and follows it. */
+    /** Reads the document and starts to follow its changes. */
     public void start() {
         if (verified) {
-            verification = sharing.followVerified(key, GATHER, new DocumentListener());
+            verification = sharing.followVerified(key, WATCH_PAUSE, new DocumentListener());
         } else {
-            sharing.follow(key, GATHER, new DocumentListener());
+            sharing.follow(key, WATCH_PAUSE, new DocumentListener());
         }
     }
 
-    /** How long ago the document in force was surely the newest, in nanoseconds; empty while it is not known. */
+    /**
+     * Returns the time since the document in force was verified to be the newest, in nanoseconds; empty while unknown.
+     */
     public Optional<Long> verifiedAgeNanos() {
         return verification.ageNanos();
     }
 
-    /** Takes what the store and other nodes tell of the document. */
+    /** Handles entries of the document that come from the store and from other nodes. */
     private final class DocumentListener implements EntryListener {
 
-        /** The entry whose document is in force; null before the first. */
+        /** The entry whose document is in force; null until there is one. */
         private Entry inForce;
 
-        /** Whether the store holds an older document than the one in force, or none any more. */
-        private boolean setBack;
+        /** Whether the store holds an older document than the one in force, or no document any more. */
+        private boolean storeOutdated;
 
         @Override
         public boolean onEntry(Entry entry) {
@@ -80,53 +90,56 @@
                 return true;
             }
             if (entry.value().isEmpty()) {
-                setBack = inForce != null;
+                storeOutdated = inForce != null;
                 return true;
             }
             try {
                 Configuration document = decoder.decode(entry.value().get());
-                take(entry, document);
-                setBack = document.version() < keeper.current().version();
+                putInForceIfNewer(entry, document);
+                storeOutdated =
+                        document.version() < activeConfiguration.current().version();
                 return true;
             } catch (ConfigurationException e) {
-                log.atWarning().withCause(e).log("a document of the operators can't be read and is passed over");
+                log.atWarning().withCause(e).log("ignoring an operators' document that cannot be read");
                 return false;
             }
         }
 
-        /** Puts the document of the entry in force if it is newer; tells whether it did. */
-        private boolean take(Entry entry, Configuration document) {
-            boolean taken = keeper.take(document, List.of());
-            if (taken) {
+        /** Puts the document of the entry in force if it is newer; returns whether it did. */
+        private boolean putInForceIfNewer(Entry entry, Configuration document) {
+            boolean adopted = activeConfiguration.adopt(document, List.of());
+            if (adopted) {
                 inForce = entry;
             }
             log.atInfo().log(
                     "document version %d of revision %s is %s",
                     document.version(),
                     entry.revision(),
-                    taken
+                    adopted
                             ? "in force"
-                            : "passed over, as version " + keeper.current().version() + " is in force");
-            return taken;
+                            : "ignored because version "
+                                    + activeConfiguration.current().version() + " is in force");
+            return adopted;
         }
 
         @Override
         public Optional<Entry> kept() {
-            return setBack ? Optional.ofNullable(inForce) : Optional.empty();
+            return storeOutdated ? Optional.ofNullable(inForce) : Optional.empty();
         }
 
-        /** Guards against a node that starts with the document to which the store was set back. */
+        /** Guards against a node that starts with an outdated document after the store was reset to an older state. */
         @Override
         public void onKept(Entry entry) {
             if (!entry.key().equals(key) || entry.value().isEmpty()) {
                 return;
             }
             try {
-                boolean newer = take(entry, decoder.decode(entry.value().get()));
-                setBack = newer || setBack;
+                boolean newer =
+                        putInForceIfNewer(entry, decoder.decode(entry.value().get()));
+                storeOutdated = newer || storeOutdated;
             } catch (ConfigurationException e) {
                 log.atWarning().withCause(e).log(
-                        "a document that another node goes by can't be read: it is passed over");
+                        "ignoring an operators' document from another node that cannot be read");
             }
         }
     }
--- a/src/main/java/io/beryldock/configuration/DocumentTransfer.java
+++ b/src/main/java/io/beryldock/configuration/DocumentTransfer.java
@@ -13,45 +13,46 @@
 import java.util.List;
 
 /**
- * Hands whole documents from node to node, part by part: when a node starts, or is too far behind for changes.
+ * Transfers full documents between nodes in parts, for a node that starts or that is too far behind to catch up by
+ * changes.
  *
- * <p>On the control thread only. One document is fetched at a time, from one peer; without progress for a second the
- * fetch is given up, and the next digest that tells of a higher version starts another.
+ * <p>Confined to the control thread. A node fetches one document at a time, from one peer. A fetch without progress for
+ * one second is abandoned; the next digest with a higher version starts another fetch.
  */
-final class WholeExchange {
+final class DocumentTransfer {
 
-    /** Bytes of a part: few enough not to hold up calls on the connection that both share. */
+    /** Size of a part, small enough not to delay calls on the connection that both share. */
     static final int PART_BYTES = 32 << 10;
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
-    private static final long GIVE_UP_NANOS = Duration.ofSeconds(1).toNanos();
-    private static final long KEEP_NANOS = Duration.ofSeconds(10).toNanos();
+    private static final long STALL_TIMEOUT_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final long SERVED_RETENTION_NANOS = Duration.ofSeconds(10).toNanos();
 
-    private final ConfigurationKeeper keeper;
+    private final ConfigurationKeeper activeConfiguration;
     private final Messenger messenger;
     private final Ticker ticker;
 
     private InetSocketAddress source;
     private final List<ConfigurationPart> fetched = new ArrayList<>();
-    private long progressAt;
+    private long lastProgressAt;
 
     private ImmutableList<ConfigurationPart> served = ImmutableList.of();
     private long servedAt;
 
-    private WholeExchange(ConfigurationKeeper keeper, Messenger messenger, Ticker ticker) {
-        this.keeper = keeper;
+    private DocumentTransfer(ConfigurationKeeper activeConfiguration, Messenger messenger, Ticker ticker) {
+        this.activeConfiguration = activeConfiguration;
         this.messenger = messenger;
         this.ticker = ticker;
     }
 
-    static WholeExchange create(ConfigurationKeeper keeper, Messenger messenger, Ticker ticker) {
-        return new WholeExchange(keeper, messenger, ticker);
+    static DocumentTransfer create(ConfigurationKeeper activeConfiguration, Messenger messenger, Ticker ticker) {
+        return new DocumentTransfer(activeConfiguration, messenger, ticker);
     }
 
-    /** Begins to fetch from the peer, unless a fetch is getting on. */
+    /** Starts to fetch the document from the peer, unless a fetch is making progress. */
     void fetch(InetSocketAddress peer) {
-        if (source != null && ticker.nanos() - progressAt < GIVE_UP_NANOS) {
+        if (source != null && ticker.nanos() - lastProgressAt < STALL_TIMEOUT_NANOS) {
             return;
         }
         source = peer;
@@ -60,7 +61,7 @@
     }
 
     private void request(long version) {
-        progressAt = ticker.nanos();
+        lastProgressAt = ticker.nanos();
         ConfigurationWholeRequest request = ConfigurationWholeRequest.newBuilder()
                 .setVersion(version)
                 .setIndex(fetched.size())
@@ -73,58 +74,64 @@
             return;
         }
         if (!fetched.isEmpty() && fetched.get(0).getHash() != part.getHash()) {
-            // The peer has gone on to a later document: begin again with that.
+            // The peer serves a later document now: restart the fetch with that document.
             fetched.clear();
         }
         if (part.getIndex() == fetched.size()) {
             fetched.add(part);
-            goOn(part);
+            continueFetch(part);
         }
     }
 
-    private void goOn(ConfigurationPart last) {
+    private void continueFetch(ConfigurationPart last) {
         if (fetched.size() < last.getCount()) {
             request(last.getVersion());
             return;
         }
         try {
-            DocumentCodec.Whole whole = DocumentCodec.join(fetched);
-            keeper.take(whole.configuration(), whole.recent());
+            DocumentCodec.Document document = DocumentCodec.join(fetched);
+            activeConfiguration.adopt(document.configuration(), document.recent());
         } catch (IOException e) {
-            log.atWarning().withCause(e).log("a configuration from %s can't be read", source);
+            log.atWarning().withCause(e).log("configuration document from %s cannot be read", source);
         }
         source = null;
         fetched.clear();
     }
 
     void onRequest(InetSocketAddress peer, ConfigurationWholeRequest request) {
-        if (keeper.current().version() == Configuration.DEFAULTS_VERSION) {
+        if (activeConfiguration.current().version() == Configuration.DEFAULTS_VERSION) {
             return;
         }
-        boolean goesOn = !served.isEmpty() && served.get(0).getVersion() == request.getVersion();
-        if (!goesOn) {
-            refresh();
+        boolean continuesServed = !served.isEmpty() && served.get(0).getVersion() == request.getVersion();
+        if (!continuesServed) {
+            refreshServed();
         }
-        int index = goesOn ? request.getIndex() : 0;
+        int index = continuesServed ? request.getIndex() : 0;
         if (index < served.size()) {
             servedAt = ticker.nanos();
             messenger.send(peer, ConfigurationMessage.newBuilder().setPart(served.get(index)));
         }
     }
 
-    /** Packs the document again, but not for each asker: one a few seconds old is followed by the missing changes. */
-    private void refresh() {
-        Configuration current = keeper.current();
-        boolean sameLine = !served.isEmpty() && ticker.nanos() - servedAt < KEEP_NANOS;
-        if (sameLine && served.get(0).getVersion() >= keeper.changeLog().reach(current.version())) {
+    /**
+     * Encodes the document again, unless the served copy was requested within the last seconds and the change log
+     * covers all changes since. The receiver of such a copy gets the missing changes afterwards, so the document is not
+     * encoded for each request.
+     */
+    private void refreshServed() {
+        Configuration current = activeConfiguration.current();
+        boolean recentlyServed = !served.isEmpty() && ticker.nanos() - servedAt < SERVED_RETENTION_NANOS;
+        if (recentlyServed
+                && served.get(0).getVersion() >= activeConfiguration.changeLog().reach(current.version())) {
             return;
         }
-        served = DocumentCodec.cut(current.version(), DocumentCodec.encode(current, keeper.changes()), PART_BYTES);
+        served = DocumentCodec.split(
+                current.version(), DocumentCodec.encode(current, activeConfiguration.changes()), PART_BYTES);
     }
 
-    /** Frees the packed document when nobody has asked for a while. */
-    void tick() {
-        if (!served.isEmpty() && ticker.nanos() - servedAt > KEEP_NANOS) {
+    /** Releases the encoded document after a period without requests. */
+    void releaseIdle() {
+        if (!served.isEmpty() && ticker.nanos() - servedAt > SERVED_RETENTION_NANOS) {
             served = ImmutableList.of();
         }
     }
--- a/src/main/java/io/beryldock/configuration/DrainSetting.java
+++ b/src/main/java/io/beryldock/configuration/DrainSetting.java
@@ -2,7 +2,7 @@
 
 import io.beryldock.call.NodeId;
 
-/** The target of a node takes no new work until the setting is removed. Immutable. */
+/** Marks the target of a node as drained: it gets no new requests until the setting is removed. Immutable. */
 public record DrainSetting(NodeId node) implements Setting {
 
     @Override
--- a/src/main/java/io/beryldock/configuration/HostTable.java
+++ b/src/main/java/io/beryldock/configuration/HostTable.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 
 /**
- * Finds the route of a request by host and path: of the routes of the host, the one with the longest prefix.
+ * Finds the route of a request by host and path: among the routes of the host, the one with the longest prefix.
  *
- * <p>Immutable. Prefixes end with a slash and are compared letter by letter; a look-up costs one hash-map access a
- * slash of the path, whatever the number of routes.
+ * <p>Immutable. Prefixes end with a slash and are compared character by character. A look-up costs one hash-map access
+ * per slash in the path, regardless of the number of routes.
  */
 final class HostTable {
 
--- a/src/main/java/io/beryldock/configuration/InForceReport.java
+++ b/src/main/java/io/beryldock/configuration/InForceReport.java
@@ -5,9 +5,9 @@
 import io.beryldock.call.NodeId;
 
 /**
- * How far a version has spread. Immutable.
+ * Reports on which nodes a version is in force. Immutable.
  *
- * @param version the version asked about
+ * @param version the version that the report is about
  * @param dataCentres one line for each data centre of the directory, in order of their names
  */
 public record InForceReport(long version, ImmutableList<Line> dataCentres) {
@@ -17,7 +17,7 @@
         return dataCentres.stream().allMatch(line -> line.holding() == line.nodes());
     }
 
-    /** Data centres in which every node holds the version. */
+    /** Returns the number of data centres in which every node holds the version or a higher one. */
     public int dataCentresInForce() {
         return (int) dataCentres.stream()
                 .filter(line -> line.holding() == line.nodes())
@@ -25,13 +25,13 @@
     }
 
     /**
-     * One data centre.
+     * The figures of one data centre.
      *
-     * @param nodes nodes that the directory has there
-     * @param answered those that answered
-     * @param holding those that hold the version or a higher one
-     * @param lowest the lowest version that a node there answered with, -1 when none did
-     * @param behind some of those that hold a lower one or did not answer
+     * @param nodes number of nodes that the directory lists in the data centre
+     * @param answered number of nodes that answered
+     * @param holding number of nodes that hold the version or a higher one
+     * @param lowest the lowest version that a node answered with, -1 if no node answered
+     * @param behind some of the nodes that hold a lower version or did not answer
      */
     public record Line(
             DataCentre dataCentre, int nodes, int answered, int holding, long lowest, ImmutableList<NodeId> behind) {}
--- a/src/main/java/io/beryldock/configuration/InForceSurvey.java
+++ b/src/main/java/io/beryldock/configuration/InForceSurvey.java
@@ -22,125 +22,141 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Asks every node which version it holds, through a tree: one node of each data centre is asked for all of it, splits
- * its nodes into {@link #FAN_OUT} groups, asks one node of each for the whole group, and so on.
+ * Surveys which version each node holds, by way of a tree of delegates: one node of each data centre gets the request
+ * for the whole data centre, splits its nodes into {@link #FAN_OUT} groups, forwards the request to one node of each
+ * group, and so on.
  *
- * <p>On the control thread only. A survey costs each node about one question and one answer, and nobody more than a
- * few. A node that does not answer is replaced once by another of its group, then the group counts as silent.
+ * <p>Confined to the control thread. A survey costs each node about one request and one reply, and no node more than a
+ * few. A delegate that does not reply is replaced once by another node of its group; after that, the whole group counts
+ * as not answering.
  */
 final class InForceSurvey {
 
     static final int FAN_OUT = 8;
 
     private static final int TRIES = 2;
-    /** Part of the time for one try that the node asked may use, so that its answer comes before the next try. */
-    private static final double PART_FOR_DELEGATE = 0.8;
+    /**
+     * Share of the time for one try that the delegate may use, so that its reply arrives before the next try starts.
+     */
+    private static final double DELEGATE_TIME_SHARE = 0.8;
 
     private static final Duration ROUND_TIME = Duration.ofSeconds(3);
     private static final Duration BETWEEN_ROUNDS = Duration.ofMillis(500);
 
     private final NodeDescriptor self;
-    private final ConfigurationKeeper keeper;
+    private final ConfigurationKeeper activeConfiguration;
     private final Messenger messenger;
-    private final Supplier<PeerChoice> choice;
+    private final Supplier<PeerSelection> selection;
     private final TimerService timers;
     private final RandomGenerator random;
-    private final Map<Long, Consumer<SurveyTally>> waiting = new HashMap<>();
+    private final Map<Long, Consumer<SurveyTally>> pending = new HashMap<>();
 
     private InForceSurvey(
             NodeDescriptor self,
-            ConfigurationKeeper keeper,
+            ConfigurationKeeper activeConfiguration,
             Messenger messenger,
-            Supplier<PeerChoice> choice,
+            Supplier<PeerSelection> selection,
             TimerService timers,
             RandomGenerator random) {
         this.self = self;
-        this.keeper = keeper;
+        this.activeConfiguration = activeConfiguration;
         this.messenger = messenger;
-        this.choice = choice;
+        this.selection = selection;
         this.timers = timers;
         this.random = random;
     }
 
     static InForceSurvey create(
             NodeDescriptor self,
-            ConfigurationKeeper keeper,
+            ConfigurationKeeper activeConfiguration,
             Messenger messenger,
-            Supplier<PeerChoice> choice,
+            Supplier<PeerSelection> selection,
             TimerService timers,
             RandomGenerator random) {
-        return new InForceSurvey(self, keeper, messenger, choice, timers, random);
+        return new InForceSurvey(self, activeConfiguration, messenger, selection, timers, random);
     }
 
-    /** Surveys all data centres, and those where the version is not yet everywhere again until the time is over. */
+    /**
+     * Surveys all data centres, then repeats the survey for those where some nodes lack the version, until the time is
+     * over.
+     */
     CompletableFuture<InForceReport> await(long version, Duration time) {
         long end = ticker().nanos() + time.toNanos();
         Map<DataCentre, SurveyTally> tallies = new TreeMap<>();
-        choice.get().members().forEach((place, nodes) -> tallies.put(place, SurveyTally.silent(nodes)));
-        return round(version, end, tallies);
-    }
-
-    private CompletableFuture<InForceReport> round(long version, long end, Map<DataCentre, SurveyTally> tallies) {
-        long left = end - ticker().nanos();
-        List<DataCentre> open = tallies.keySet().stream()
-                .filter(place ->
-                        tallies.get(place).holding() < tallies.get(place).nodes())
+        selection
+                .get()
+                .members()
+                .forEach((dataCentre, nodes) -> tallies.put(dataCentre, SurveyTally.unanswered(nodes)));
+        return startRound(version, end, tallies);
+    }
+
+    private CompletableFuture<InForceReport> startRound(long version, long end, Map<DataCentre, SurveyTally> tallies) {
+        long remaining = end - ticker().nanos();
+        List<DataCentre> incomplete = tallies.keySet().stream()
+                .filter(dataCentre -> tallies.get(dataCentre).holding()
+                        < tallies.get(dataCentre).nodes())
                 .toList();
-        if (left <= 0 || open.isEmpty()) {
+        if (remaining <= 0 || incomplete.isEmpty()) {
             return CompletableFuture.completedFuture(report(version, tallies));
         }
-        Duration roundTime = Duration.ofNanos(Math.min(left, ROUND_TIME.toNanos()));
+        Duration roundTime = Duration.ofNanos(Math.min(remaining, ROUND_TIME.toNanos()));
         List<CompletableFuture<SurveyTally>> answers = new ArrayList<>();
         ImmutableSortedMap<DataCentre, ImmutableList<NodeDescriptor>> members =
-                choice.get().members();
-        for (DataCentre place : open) {
-            ImmutableList<NodeDescriptor> nodes = members.getOrDefault(place, ImmutableList.of());
-            answers.add(gather(nodes, place, version, roundTime).thenApply(tally -> note(tallies, place, tally)));
+                selection.get().members();
+        for (DataCentre dataCentre : incomplete) {
+            ImmutableList<NodeDescriptor> nodes = members.getOrDefault(dataCentre, ImmutableList.of());
+            answers.add(surveyDataCentre(nodes, dataCentre, version, roundTime)
+                    .thenApply(tally -> putTally(tallies, dataCentre, tally)));
         }
-        return FutureLists.all(answers).thenCompose(done -> pause(version, end, tallies));
+        return FutureLists.all(answers).thenCompose(done -> finishRound(version, end, tallies));
     }
 
-    private static SurveyTally note(Map<DataCentre, SurveyTally> tallies, DataCentre place, SurveyTally tally) {
-        tallies.put(place, tally);
+    private static SurveyTally putTally(
+            Map<DataCentre, SurveyTally> tallies, DataCentre dataCentre, SurveyTally tally) {
+        tallies.put(dataCentre, tally);
         return tally;
     }
 
-    private CompletableFuture<InForceReport> pause(long version, long end, Map<DataCentre, SurveyTally> tallies) {
+    private CompletableFuture<InForceReport> finishRound(long version, long end, Map<DataCentre, SurveyTally> tallies) {
         InForceReport report = report(version, tallies);
         if (report.everywhere() || ticker().nanos() + BETWEEN_ROUNDS.toNanos() >= end) {
             return CompletableFuture.completedFuture(report);
         }
         CompletableFuture<InForceReport> next = new CompletableFuture<>();
-        timers.after(BETWEEN_ROUNDS, () -> round(version, end, tallies).thenAccept(next::complete));
+        timers.after(BETWEEN_ROUNDS, () -> startRound(version, end, tallies).thenAccept(next::complete));
         return next;
     }
 
     private static InForceReport report(long version, Map<DataCentre, SurveyTally> tallies) {
         ImmutableList.Builder<InForceReport.Line> lines = ImmutableList.builder();
-        tallies.forEach((place, tally) -> lines.add(tally.line(place)));
+        tallies.forEach((dataCentre, tally) -> lines.add(tally.line(dataCentre)));
         return new InForceReport(version, lines.build());
     }
 
-    private CompletableFuture<SurveyTally> gather(
-            ImmutableList<NodeDescriptor> nodes, DataCentre place, long version, Duration time) {
-        return place.equals(self.dataCentre()) ? split(nodes, version, time) : ask(nodes, version, time, TRIES);
+    private CompletableFuture<SurveyTally> surveyDataCentre(
+            ImmutableList<NodeDescriptor> nodes, DataCentre dataCentre, long version, Duration time) {
+        return dataCentre.equals(self.dataCentre())
+                ? surveyNodes(nodes, version, time)
+                : surveyViaDelegate(nodes, version, time, TRIES);
     }
 
-    /** Sums up the groups that the nodes fall into. */
-    private CompletableFuture<SurveyTally> split(ImmutableList<NodeDescriptor> nodes, long version, Duration time) {
+    /** Splits the nodes into groups and sums up the tallies of the groups. */
+    private CompletableFuture<SurveyTally> surveyNodes(
+            ImmutableList<NodeDescriptor> nodes, long version, Duration time) {
         if (nodes.isEmpty()) {
             return CompletableFuture.completedFuture(SurveyTally.EMPTY);
         }
         if (nodes.size() == 1 && isSelf(nodes.get(0))) {
             return CompletableFuture.completedFuture(
-                    SurveyTally.ofNode(self.id(), keeper.current().version(), version));
+                    SurveyTally.ofNode(self.id(), activeConfiguration.current().version(), version));
         }
         int size = (nodes.size() + FAN_OUT - 1) / FAN_OUT;
         List<CompletableFuture<SurveyTally>> groups = new ArrayList<>();
         for (int from = 0; from < nodes.size(); from += size) {
             ImmutableList<NodeDescriptor> group = nodes.subList(from, Math.min(nodes.size(), from + size));
-            boolean own = group.stream().anyMatch(this::isSelf);
-            groups.add(own ? split(group, version, time) : ask(group, version, time, TRIES));
+            boolean containsSelf = group.stream().anyMatch(this::isSelf);
+            groups.add(
+                    containsSelf ? surveyNodes(group, version, time) : surveyViaDelegate(group, version, time, TRIES));
         }
         return FutureLists.all(groups)
                 .thenApply(tallies -> tallies.stream().reduce(SurveyTally.EMPTY, SurveyTally::plus));
@@ -150,44 +166,45 @@
         return node.id().equals(self.id());
     }
 
-    /** Asks one of the nodes for all of them. */
-    private CompletableFuture<SurveyTally> ask(
+    /** Requests the tally of a whole group from one of its nodes. */
+    private CompletableFuture<SurveyTally> surveyViaDelegate(
             ImmutableList<NodeDescriptor> group, long version, Duration time, int tries) {
         if (tries == 0 || group.isEmpty()) {
-            return CompletableFuture.completedFuture(SurveyTally.silent(group));
+            return CompletableFuture.completedFuture(SurveyTally.unanswered(group));
         }
         Duration tryTime = time.dividedBy(tries);
         long id = random.nextLong();
         CompletableFuture<SurveyTally> answer = new CompletableFuture<>();
-        waiting.put(id, answer::complete);
+        pending.put(id, answer::complete);
         NodeDescriptor delegate = group.get(random.nextInt(group.size()));
-        messenger.send(delegate.peerAddress(), question(id, group, version, tryTime));
+        messenger.send(delegate.peerAddress(), surveyRequest(id, group, version, tryTime));
         TimerService.Subscription timer = timers.after(
                 tryTime,
-                () -> ask(group, version, time.minus(tryTime), tries - 1).thenAccept(answer::complete));
+                () -> surveyViaDelegate(group, version, time.minus(tryTime), tries - 1)
+                        .thenAccept(answer::complete));
         return answer.whenComplete((tally, failure) -> {
             timer.cancel();
-            waiting.remove(id);
+            pending.remove(id);
         });
     }
 
-    private static ConfigurationMessage.Builder question(
+    private static ConfigurationMessage.Builder surveyRequest(
             long id, List<NodeDescriptor> group, long version, Duration time) {
         ConfigurationSurvey survey = ConfigurationSurvey.newBuilder()
                 .setId(id)
                 .setVersion(version)
-                .setFrom(PeerChoice.ringHash(group.get(0).id()))
-                .setTo(PeerChoice.ringHash(group.get(group.size() - 1).id()))
-                .setTimeMillis((int) (time.toMillis() * PART_FOR_DELEGATE))
+                .setFrom(PeerSelection.ringHash(group.get(0).id()))
+                .setTo(PeerSelection.ringHash(group.get(group.size() - 1).id()))
+                .setTimeMillis((int) (time.toMillis() * DELEGATE_TIME_SHARE))
                 .build();
         return ConfigurationMessage.newBuilder().setSurvey(survey);
     }
 
     void onSurvey(InetSocketAddress peer, ConfigurationSurvey survey) {
-        ImmutableList<NodeDescriptor> range = choice.get().ring().stream()
-                .filter(node -> isWithin(PeerChoice.ringHash(node.id()), survey))
+        ImmutableList<NodeDescriptor> range = selection.get().ring().stream()
+                .filter(node -> isWithin(PeerSelection.ringHash(node.id()), survey))
                 .collect(ImmutableList.toImmutableList());
-        split(range, survey.getVersion(), Duration.ofMillis(survey.getTimeMillis()))
+        surveyNodes(range, survey.getVersion(), Duration.ofMillis(survey.getTimeMillis()))
                 .thenAccept(tally -> messenger.send(
                         peer, ConfigurationMessage.newBuilder().setSurveyReply(tally.encode(survey.getId()))));
     }
@@ -197,9 +214,9 @@
     }
 
     void onReply(ConfigurationSurveyReply reply) {
-        Consumer<SurveyTally> waiter = waiting.get(reply.getId());
-        if (waiter != null) {
-            waiter.accept(SurveyTally.decode(reply));
+        Consumer<SurveyTally> handler = pending.get(reply.getId());
+        if (handler != null) {
+            handler.accept(SurveyTally.decode(reply));
         }
     }
 
--- a/src/main/java/io/beryldock/configuration/Messenger.java
+++ b/src/main/java/io/beryldock/configuration/Messenger.java
@@ -8,10 +8,10 @@
 import java.net.UnknownHostException;
 
 /**
- * Sends the messages of the configuration and reads those of others. Immutable.
+ * Sends configuration messages and reads those of other nodes. Immutable.
  *
- * <p>Every message says where its sender is reached: a node that has just started asks peers whose directory does not
- * have it yet, and without the address it would get no answer.
+ * <p>Every message contains the address of its sender: a node that has just started sends requests to peers whose
+ * directory does not list it yet, and would get no reply without the address.
  */
 final class Messenger {
 
@@ -33,7 +33,7 @@
         transport.send(peer, message.setReplyIp(ip).setReplyPort(port).build().toByteString());
     }
 
-    /** A message and where its sender is reached. Immutable. */
+    /** A message and the address of its sender. Immutable. */
     record Received(InetSocketAddress from, ConfigurationMessage message) {}
 
     static Received read(ByteString bytes) throws InvalidProtocolBufferException {
--- a/src/main/java/io/beryldock/configuration/OpaqueSetting.java
+++ b/src/main/java/io/beryldock/configuration/OpaqueSetting.java
@@ -3,12 +3,12 @@
 import com.google.protobuf.ByteString;
 
 /**
- * A setting that a later release of the program wrote: kept byte for byte, so that an older node loses nothing of it.
+ * A setting written by a later release: it is kept byte for byte, so that an older node does not lose it.
  *
  * <p>Immutable.
  *
- * @param kind the number of the kind, as the later release knows it
- * @param name the name that the writer gave it
+ * @param kind the number of the kind as defined by the later release
+ * @param name the name that the writer gave to the setting
  */
 public record OpaqueSetting(int kind, String name, ByteString content) implements Setting {
 
--- a/src/main/java/io/beryldock/configuration/PeerSelection.java
+++ b/src/main/java/io/beryldock/configuration/PeerSelection.java
@@ -17,56 +17,61 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which peers a node tells of changes and which nodes watch the store, worked out from one directory.
+ * Selects the peers to which a node sends changes and the nodes that watch the store, from one directory.
  *
- * <p>Immutable. All by hashing of node ids, so that every node with the same directory chooses alike and a node that
- * joins or goes changes few choices: connections are made once and stay. Within the data centre a node has the two
- * nodes beside it on a ring of hashes, which makes sure that somebody has it as a neighbour, and {@link #SHORTCUTS}
- * more, which keep the way to any node short.
+ * <p>Immutable. The selection hashes node ids, so that all nodes with the same directory make the same selection, and a
+ * node that joins or leaves changes few selections: connections are reused. Within the data centre a node has as
+ * neighbours the two adjacent nodes on a ring of hashes, so that every node is the neighbour of another node, and
+ * {@link #SHORTCUTS} more nodes, which keep the paths between any two nodes short.
  */
-final class PeerChoice {
+final class PeerSelection {
 
-    /** Nodes of a data centre that watch the store. */
+    /** Number of nodes of a data centre that watch the store. */
     static final int WATCHERS = 3;
 
-    /** Neighbours beside the two on the ring. */
+    /** Number of neighbours in addition to the two on the ring. */
     static final int SHORTCUTS = 3;
 
-    private static final int PICKS = 8;
+    private static final int MAX_PICKS = 8;
 
-    /** Choices in a row that keep the watchers of other data centres: to find them takes a look at every node. */
-    private static final int KEEP_ELSEWHERE = 8;
+    /**
+     * Maximum number of consecutive selections that reuse the watchers of other data centres, because finding these
+     * watchers takes a scan of all nodes.
+     */
+    private static final int MAX_REUSES = 8;
 
     private final NodeDescriptor self;
     private final Directory directory;
     private final ImmutableList<NodeDescriptor> ring;
     private final ImmutableList<NodeDescriptor> neighbours;
     private final boolean watcher;
-    private final ImmutableList<ImmutableList<NodeDescriptor>> watchersElsewhere;
-    private final int kept;
+    private final ImmutableList<ImmutableList<NodeDescriptor>> remoteWatchers;
+    private final int reuses;
 
-    private PeerChoice(NodeDescriptor self, Directory directory, Optional<PeerChoice> before) {
+    private PeerSelection(NodeDescriptor self, Directory directory, Optional<PeerSelection> previous) {
         this.self = self;
         this.directory = directory;
         this.ring = ring(self, directory);
         this.neighbours = neighboursOf(self, ring);
         this.watcher = watchersOf(ring).contains(self);
-        Optional<PeerChoice> fresh = before.filter(choice -> choice.watcher && choice.kept < KEEP_ELSEWHERE);
-        this.kept = fresh.map(choice -> choice.kept + 1).orElse(0);
-        this.watchersElsewhere = watcher
-                ? fresh.map(choice -> choice.watchersElsewhere).orElseGet(() -> elsewhere(self, directory))
+        Optional<PeerSelection> reusable =
+                previous.filter(selection -> selection.watcher && selection.reuses < MAX_REUSES);
+        this.reuses = reusable.map(selection -> selection.reuses + 1).orElse(0);
+        this.remoteWatchers = watcher
+                ? reusable.map(selection -> selection.remoteWatchers)
+                        .orElseGet(() -> findRemoteWatchers(self, directory))
                 : ImmutableList.of();
     }
 
-    /** The choice by a directory, to which the node itself is added if it lacks it. */
-    static PeerChoice of(NodeDescriptor self, Directory directory) {
-        return new PeerChoice(self, directory, Optional.empty());
+    /** Creates the selection for a directory, to which the node itself is added if it is not listed. */
+    static PeerSelection of(NodeDescriptor self, Directory directory) {
+        return new PeerSelection(self, directory, Optional.empty());
     }
 
-    /** The choice by a later directory. */
-    PeerChoice next(Directory later) {
-        boolean first = directory.nodes().isEmpty();
-        return new PeerChoice(self, later, first ? Optional.empty() : Optional.of(this));
+    /** Creates the selection for a later directory. */
+    PeerSelection next(Directory later) {
+        boolean wasEmpty = directory.nodes().isEmpty();
+        return new PeerSelection(self, later, wasEmpty ? Optional.empty() : Optional.of(this));
     }
 
     private static ImmutableList<NodeDescriptor> ring(NodeDescriptor self, Directory directory) {
@@ -80,10 +85,11 @@
         return sorted(nodes, "ring");
     }
 
-    private static ImmutableList<ImmutableList<NodeDescriptor>> elsewhere(NodeDescriptor self, Directory directory) {
+    private static ImmutableList<ImmutableList<NodeDescriptor>> findRemoteWatchers(
+            NodeDescriptor self, Directory directory) {
         ImmutableList.Builder<ImmutableList<NodeDescriptor>> watchers = ImmutableList.builder();
-        byDataCentre(directory).forEach((place, nodes) -> {
-            if (!place.equals(self.dataCentre())) {
+        byDataCentre(directory).forEach((dataCentre, nodes) -> {
+            if (!dataCentre.equals(self.dataCentre())) {
                 watchers.add(watchersOf(nodes));
             }
         });
@@ -93,12 +99,13 @@
     private static Map<DataCentre, List<NodeDescriptor>> byDataCentre(Directory directory) {
         TreeMap<DataCentre, List<NodeDescriptor>> lists = new TreeMap<>();
         for (NodeDescriptor node : directory.nodes().values()) {
-            lists.computeIfAbsent(node.dataCentre(), place -> new ArrayList<>()).add(node);
+            lists.computeIfAbsent(node.dataCentre(), dataCentre -> new ArrayList<>())
+                    .add(node);
         }
         return lists;
     }
 
-    /** A node and its place in an order. Immutable. */
+    /** A node and its position in an order. Immutable. */
     private record Hashed(long hash, NodeDescriptor node) {}
 
     private static ImmutableList<NodeDescriptor> sorted(List<NodeDescriptor> nodes, String salt) {
@@ -116,7 +123,7 @@
                 .asLong();
     }
 
-    /** Position of a node in the order of {@link #ring()}. */
+    /** Returns the position of a node in the order of {@link #ring()}. */
     static long ringHash(NodeId id) {
         return hash("ring", id);
     }
@@ -141,7 +148,7 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** The directory this choice was made from. */
+    /** Returns the directory from which this selection was made. */
     Directory directory() {
         return directory;
     }
@@ -155,15 +162,15 @@
         return neighbours;
     }
 
-    /** The nodes of this data centre in order of {@link #ringHash}. */
+    /** Returns the nodes of this data centre in order of {@link #ringHash}. */
     ImmutableList<NodeDescriptor> ring() {
         return ring;
     }
 
-    /** All nodes by data centre, each list in order of {@link #ringHash}; worked out anew at each call. */
+    /** Returns all nodes by data centre, each list in order of {@link #ringHash}; computed on each call. */
     ImmutableSortedMap<DataCentre, ImmutableList<NodeDescriptor>> members() {
         TreeMap<DataCentre, ImmutableList<NodeDescriptor>> members = new TreeMap<>();
-        byDataCentre(directory).forEach((place, nodes) -> members.put(place, sorted(nodes, "ring")));
+        byDataCentre(directory).forEach((dataCentre, nodes) -> members.put(dataCentre, sorted(nodes, "ring")));
         members.put(self.dataCentre(), ring);
         return ImmutableSortedMap.copyOfSorted(members);
     }
@@ -172,21 +179,24 @@
         return pick(neighbours, random);
     }
 
-    /** Watchers of so many other data centres, one of each; none when this node is no watcher itself. */
-    List<NodeDescriptor> watchersElsewhere(int dataCentres, RandomGenerator random) {
-        List<ImmutableList<NodeDescriptor>> left = new ArrayList<>(watchersElsewhere);
+    /**
+     * Returns one random watcher from each of up to {@code dataCentres} other data centres; empty if this node is not a
+     * watcher.
+     */
+    List<NodeDescriptor> remoteWatchers(int dataCentres, RandomGenerator random) {
+        List<ImmutableList<NodeDescriptor>> remaining = new ArrayList<>(remoteWatchers);
         List<NodeDescriptor> chosen = new ArrayList<>();
-        while (chosen.size() < dataCentres && !left.isEmpty()) {
-            ImmutableList<NodeDescriptor> watchers = left.remove(random.nextInt(left.size()));
+        while (chosen.size() < dataCentres && !remaining.isEmpty()) {
+            ImmutableList<NodeDescriptor> watchers = remaining.remove(random.nextInt(remaining.size()));
             chosen.add(watchers.get(random.nextInt(watchers.size())));
         }
         return chosen;
     }
 
-    /** Any node of another data centre; empty when a few picks find none. */
-    Optional<NodeDescriptor> anyElsewhere(RandomGenerator random) {
+    /** Returns a random node of another data centre; empty if a limited number of random picks finds none. */
+    Optional<NodeDescriptor> anyRemoteNode(RandomGenerator random) {
         ImmutableList<NodeDescriptor> all = directory.nodes().values().asList();
-        for (int i = 0; i < PICKS; i++) {
+        for (int i = 0; i < MAX_PICKS; i++) {
             Optional<NodeDescriptor> picked =
                     pick(all, random).filter(node -> !node.dataCentre().equals(self.dataCentre()));
             if (picked.isPresent()) {
--- a/src/main/java/io/beryldock/configuration/RecordCodec.java
+++ b/src/main/java/io/beryldock/configuration/RecordCodec.java
@@ -7,7 +7,7 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Change records in the store and on the wire. Stateless, thread safe. */
+/** Encodes and decodes change records for the store and the wire. Stateless, thread safe. */
 final class RecordCodec {
 
     private static final BaseEncoding HEX = BaseEncoding.base16().lowerCase();
--- a/src/main/java/io/beryldock/configuration/RetrySetting.java
+++ b/src/main/java/io/beryldock/configuration/RetrySetting.java
@@ -1,19 +1,19 @@
 package io.beryldock.configuration;
 
 /**
- * A retry budget by its name.
+ * A named retry budget.
  *
  * <p>Immutable.
  *
- * @param retries the most retries that one root request causes over its whole tree
+ * @param retries maximum number of retries that one root request may cause over its whole call tree
  * @param share retries from one service to another as a share of first tries, 0 to 1
  */
 public record RetrySetting(String name, int retries, double share) implements Setting {
 
-    /** Name of the budget that every deployment starts with and that routes have unless told otherwise. */
+    /** Name of the budget that exists in every deployment; routes use it unless configured otherwise. */
     public static final String STANDARD = "standard";
 
-    /** The most retries that a budget may grant to one root request. */
+    /** Maximum number of retries that a budget may grant to one root request. */
     public static final int MAX_RETRIES = 16;
 
     @Override
--- a/src/main/java/io/beryldock/configuration/Route.java
+++ b/src/main/java/io/beryldock/configuration/Route.java
@@ -9,21 +9,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which service answers the paths below a prefix, and how its requests are treated.
+ * Maps the requests below a path prefix to a service and sets how these requests are treated.
  *
- * <p>Immutable. The prefix of a route for any host matches whole segments: {@code /orders} matches {@code /orders/7},
- * not {@code /ordersheet}. That of a route for one host is compared with the path letter by letter.
+ * <p>Immutable. The prefix of a route for any host matches whole segments: {@code /orders} matches {@code /orders/7}
+ * but not {@code /ordersheet}. The prefix of a route for one host is compared with the path character by character.
  *
- * @param prefix begins with a slash; for any host it ends with none, but for {@code /} itself
- * @param methods upper-case HTTP methods that the route is for, empty for any
- * @param priorityClass name of the class whose rank its requests have
- * @param idempotent whether a request may run more than once
+ * @param prefix begins with a slash; for any host it does not end with a slash, except for {@code /} itself
+ * @param methods upper-case HTTP methods that the route applies to, empty for any method
+ * @param priorityClass name of the priority class that sets the rank of the requests
+ * @param idempotent whether a request may be executed more than once
  * @param deadline time allowed for a root request
  * @param budget name of the retry budget
- * @param host the one host that the route is for, {@link #ANY_HOST} for any
- * @param split services among which requests are spread by weight; empty when all go to {@code service}
- * @param open whether requests need no key where there are organisations
- * @param namedObjective time within which an answer is worth most to its caller, where operators name one
+ * @param host the only host that the route applies to, or {@link #ANY_HOST}
+ * @param split services among which requests are distributed by weight; empty if all requests go to {@code service}
+ * @param open whether requests need no key in a deployment with organisations
+ * @param namedObjective latency objective set by operators: the time within which an answer is worth most to its
+ *     caller; empty if operators set none
  */
 public record Route(
         String prefix,
@@ -39,7 +40,7 @@
         Optional<Duration> namedObjective)
         implements Setting {
 
-    /** Stands for a route that does not look at the host. */
+    /** Host of a route that applies to every host. */
     public static final String ANY_HOST = "";
 
     public Route {
@@ -54,7 +55,7 @@
         Objects.requireNonNull(namedObjective, "namedObjective");
     }
 
-    /** A route for any host whose requests all go to one service. */
+    /** Creates a route for any host whose requests all go to one service. */
     public Route(
             String prefix,
             ImmutableSet<String> methods,
@@ -77,43 +78,44 @@
                 Optional.empty());
     }
 
-    /** The same route for one host, with its requests spread over these services. */
+    /** Returns this route for one host, with its requests distributed over the services. */
     public Route forHost(String name, ImmutableList<WeightedService> services) {
         return with(idempotent, deadline, name, services, open, namedObjective);
     }
 
-    /** The same route, for requests without a key too or not. */
+    /** Returns this route, open or not open to requests without a key. */
     public Route withOpen(boolean mark) {
         return with(idempotent, deadline, host, split, mark, namedObjective);
     }
 
     /**
-     * Time within which an answer is worth most to its caller; the deadline where operators name none or a longer one.
+     * Returns the latency objective: the time within which an answer is worth most to its caller. This is the deadline
+     * if operators set no objective or a longer one.
      */
     public Duration objective() {
         return namedObjective.filter(named -> named.compareTo(deadline) < 0).orElse(deadline);
     }
 
-    /** The same route with a time within which an answer is worth most to its caller. */
+    /** Returns this route with a latency objective. */
     public Route withObjective(Duration time) {
         return with(idempotent, deadline, host, split, open, Optional.of(time));
     }
 
     /**
-     * The service of one request.
+     * Chooses the service for one request.
      *
-     * <p>Drawn by weight alone, whatever room a service has: operators split requests to compare services, and what is
-     * moved to another part would make the comparison worthless.
+     * <p>The choice depends on the weights only, not on the free capacity of the services: operators split requests to
+     * compare services, and moving requests to another service would invalidate the comparison.
      */
     public ServiceName chooseService(RandomGenerator random) {
         if (split.isEmpty()) {
             return service;
         }
-        double left = split.stream().mapToDouble(WeightedService::weight).sum() * random.nextDouble();
-        for (WeightedService part : split) {
-            left -= part.weight();
-            if (left < 0) {
-                return part.service();
+        double remaining = split.stream().mapToDouble(WeightedService::weight).sum() * random.nextDouble();
+        for (WeightedService weighted : split) {
+            remaining -= weighted.weight();
+            if (remaining < 0) {
+                return weighted.service();
             }
         }
         return service;
--- a/src/main/java/io/beryldock/configuration/RoutePath.java
+++ b/src/main/java/io/beryldock/configuration/RoutePath.java
@@ -4,19 +4,19 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The form of a request's path that routes are matched against. Stateless, thread safe.
+ * Normalises the path of a request for matching against routes. Stateless, thread safe.
  *
- * <p>Guards against a request that reaches a service's non-idempotent path by another spelling, such as {@code
- * //orders} or {@code /%6Frders}, and would be matched by a wider, idempotent route: it would then be retried and run
- * twice. Targets treat such spellings as one path, so routes do too.
+ * <p>Guards against a request that reaches a non-idempotent path of a service by another spelling, such as {@code
+ * //orders} or {@code /%6Frders}: a wider, idempotent route would match it, and the request could be retried and
+ * executed twice. Targets treat such spellings as the same path, so routes do as well.
  */
 final class RoutePath {
 
     private RoutePath() {}
 
-    /** Path without query, percent-encoding, empty and dot segments. */
+    /** Returns the path without query, percent-encoding, empty segments and dot segments. */
     static String of(String pathAndQuery) {
-        boolean plain = true;
+        boolean canonical = true;
         char last = 0;
         int end = 0;
         while (end < pathAndQuery.length()) {
@@ -24,12 +24,12 @@
             if (ch == '?') {
                 break;
             }
-            plain &= ch != '%' && (last != '/' || (ch != '/' && ch != '.'));
+            canonical &= ch != '%' && (last != '/' || (ch != '/' && ch != '.'));
             last = ch;
             end++;
         }
         String path = pathAndQuery.substring(0, end);
-        return plain ? path : normalise(path);
+        return canonical ? path : normalise(path);
     }
 
     private static String normalise(String path) {
@@ -50,7 +50,7 @@
 
     private static String decode(String path) {
         try {
-            // In a path a plus sign is itself; the decoder is one of forms, where it stands for a space.
+            // A plus sign in a path is literal, but this decoder is for form data, in which it stands for a space.
             return URLDecoder.decode(path.replace("+", "%2B"), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
             return path;
--- a/src/main/java/io/beryldock/configuration/RouteTable.java
+++ b/src/main/java/io/beryldock/configuration/RouteTable.java
@@ -10,11 +10,11 @@
 import java.util.Optional;
 
 /**
- * Finds the route of a request: of the routes that match, the one with the longest prefix, then the one that names the
+ * Finds the route of a request: among the matching routes, the one with the longest prefix, then one that names the
  * method.
  *
- * <p>Immutable. A look-up costs one hash-map access a path segment, at most as many as the deepest prefix has, whatever
- * the number of routes and the length of the path.
+ * <p>Immutable. A look-up costs one hash-map access per path segment, up to the number of segments of the deepest
+ * prefix, regardless of the number of routes and the length of the path.
  */
 final class RouteTable {
 
@@ -75,7 +75,10 @@
         return Optional.empty();
     }
 
-    /** Where the numbered segment ends, or the path if it has fewer. */
+    /**
+     * Returns the index at which the segment with the given number ends, or the length of the path if it has fewer
+     * segments.
+     */
     private static int endOfSegment(String path, int number) {
         int end = 0;
         for (int i = 0; i < number; i++) {
--- a/src/main/java/io/beryldock/configuration/ServiceSetting.java
+++ b/src/main/java/io/beryldock/configuration/ServiceSetting.java
@@ -3,15 +3,16 @@
 import io.beryldock.call.ServiceName;
 
 /**
- * What operators set for a service.
+ * The operators' setting for a service.
  *
  * <p>Immutable.
  *
- * @param slots the most requests that each of its targets runs at once, whatever the target announces
+ * @param slots maximum number of requests that each target of the service runs concurrently, whatever the target
+ *     announces
  */
 public record ServiceSetting(ServiceName service, int slots) implements Setting {
 
-    /** The highest cap that makes sense for one target. */
+    /** Upper bound of a meaningful limit for one target. */
     public static final int MAX_SLOTS = 100_000;
 
     @Override
--- a/src/main/java/io/beryldock/configuration/Setting.java
+++ b/src/main/java/io/beryldock/configuration/Setting.java
@@ -1,10 +1,10 @@
 package io.beryldock.configuration;
 
-/** One entry of the configuration. Immutable; equal settings have equal text. */
+/** One setting of the configuration. Immutable; equal settings have equal text. */
 public sealed interface Setting permits Route, ClassSetting, RetrySetting, ServiceSetting, DrainSetting, OpaqueSetting {
 
     SettingKey key();
 
-    /** The value as operators read it, for example {@code priority 3}. */
+    /** Returns the value as operators read it, for example {@code priority 3}. */
     String text();
 }
--- a/src/main/java/io/beryldock/configuration/SettingCheck.java
+++ b/src/main/java/io/beryldock/configuration/SettingCheck.java
@@ -4,10 +4,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Checks a setting before it is written; the errors name the setting, what was expected and the remedy.
+ * Checks a setting before it is written; the exceptions name the setting, the problem and the remedy.
  *
- * <p>Stateless, thread safe. Only writers check: a node takes every accepted setting as it is, or two releases of the
- * program would come to differ.
+ * <p>Stateless, thread safe. Only writers check settings. A node applies every accepted setting unchecked; otherwise
+ * nodes of two releases could end up with different documents.
  */
 final class SettingCheck {
 
@@ -46,27 +46,28 @@
                 name,
                 "budget " + route.budget() + " is not known",
                 "make it first: set budget " + route.budget() + " retries 0..16 share 0..1");
-        checkMethodsFree(route, base);
+        checkMethodsUnused(route, base);
     }
 
-    private static void checkMethodsFree(Route route, Configuration base) throws ConfigurationException {
+    private static void checkMethodsUnused(Route route, Configuration base) throws ConfigurationException {
         for (Setting other : base.settings().values()) {
-            if (other instanceof Route rival
-                    && rival.prefix().equals(route.prefix())
-                    && !rival.key().equals(route.key())
-                    && rival.methods().stream().anyMatch(route.methods()::contains)) {
+            if (other instanceof Route existing
+                    && existing.prefix().equals(route.prefix())
+                    && !existing.key().equals(route.key())
+                    && existing.methods().stream().anyMatch(route.methods()::contains)) {
                 throw ConfigurationException.of(
                         route.key().toString(),
-                        rival.key() + " names one of its methods already",
+                        existing.key() + " names one of its methods already",
                         "remove that route first or name the same methods");
             }
         }
     }
 
     private static void checkPrefix(String name, String prefix) throws ConfigurationException {
-        boolean plain = PREFIX.matcher(prefix).matches() && RoutePath.of(prefix).equals(prefix);
+        boolean normalised =
+                PREFIX.matcher(prefix).matches() && RoutePath.of(prefix).equals(prefix);
         require(
-                plain && prefix.length() <= MAX_PREFIX,
+                normalised && prefix.length() <= MAX_PREFIX,
                 name,
                 "prefix '" + prefix + "'",
                 "begin with a slash, end with none, no query, no percent sign, at most " + MAX_PREFIX + " characters");
@@ -108,9 +109,9 @@
                 "give 1 to " + ServiceSetting.MAX_SLOTS);
     }
 
-    private static void require(boolean holds, String name, String problem, String remedy)
+    private static void require(boolean condition, String name, String problem, String remedy)
             throws ConfigurationException {
-        if (!holds) {
+        if (!condition) {
             throw ConfigurationException.of(name, problem, remedy);
         }
     }
--- a/src/main/java/io/beryldock/configuration/SettingCodec.java
+++ b/src/main/java/io/beryldock/configuration/SettingCodec.java
@@ -16,10 +16,10 @@
 import java.util.Optional;
 
 /**
- * Settings in the store and on the wire. Stateless, thread safe.
+ * Encodes and decodes settings for the store and the wire. Stateless, thread safe.
  *
- * <p>A kind or value that this release can't read is kept as an {@link OpaqueSetting}: during an upgrade nodes of two
- * releases hold one document, and an older node that dropped or refused an entry would undo an accepted change.
+ * <p>A kind or value that this release cannot read is kept as an {@link OpaqueSetting}: during an upgrade, nodes of two
+ * releases hold the same document, and an older node that dropped or rejected a setting would undo an accepted change.
  */
 final class SettingCodec {
 
--- a/src/main/java/io/beryldock/configuration/SettingEdit.java
+++ b/src/main/java/io/beryldock/configuration/SettingEdit.java
@@ -4,9 +4,9 @@
 import java.util.Optional;
 
 /**
- * What a change does to the one setting it touches. Immutable.
+ * The effect of a change on the one setting that it touches. Immutable.
  *
- * @param setting the new value, empty when the setting is removed
+ * @param setting the new value, empty if the setting is removed
  */
 public record SettingEdit(SettingKey key, Optional<Setting> setting) {
 
--- a/src/main/java/io/beryldock/configuration/SettingKey.java
+++ b/src/main/java/io/beryldock/configuration/SettingKey.java
@@ -8,24 +8,24 @@
 import java.util.stream.Collectors;
 
 /**
- * Names one setting of the configuration, or one field of it; for example {@code deadline of route /orders POST}.
+ * Identifies one setting of the configuration, or one field of it; for example {@code deadline of route /orders POST}.
  *
- * <p>Immutable. Two changes clash when their keys overlap: the same setting, and the same field of it or one of them
- * the whole setting.
+ * <p>Immutable. Two changes conflict if their keys overlap: both keys identify the same setting, and either the same
+ * field or, at least one of them, the whole setting.
  *
- * @param name what tells the setting from others of its kind
- * @param field the part of the setting, empty for the whole
+ * @param name identifies the setting among those of its kind
+ * @param field the field of the setting, empty for the whole setting
  */
 public record SettingKey(Kind kind, String name, String field) implements Comparable<SettingKey> {
 
-    /** Kinds of settings. */
+    /** Kind of a setting. */
     public enum Kind {
         ROUTE,
         CLASS,
         BUDGET,
         SERVICE,
         DRAIN,
-        /** Written by a later release of the program; kept as it is. */
+        /** A setting that a later release wrote; it is kept unchanged. */
         OPAQUE
     }
 
@@ -56,17 +56,17 @@
         return new SettingKey(Kind.DRAIN, node.value(), "");
     }
 
-    /** One field of this setting. */
+    /** Returns the key of a field of this setting. */
     SettingKey field(String part) {
         return new SettingKey(kind, name, part);
     }
 
-    /** The whole setting. */
+    /** Returns the key of the whole setting. */
     SettingKey whole() {
         return field.isEmpty() ? this : new SettingKey(kind, name, "");
     }
 
-    /** Whether a change of the one can undo a change of the other. */
+    /** Whether a change of one setting can overwrite a change of the other. */
     public boolean overlaps(SettingKey other) {
         if (kind != other.kind || !name.equals(other.name)) {
             return false;
--- a/src/main/java/io/beryldock/configuration/SnapshotRef.java
+++ b/src/main/java/io/beryldock/configuration/SnapshotRef.java
@@ -1,12 +1,12 @@
 package io.beryldock.configuration;
 
 /**
- * Where the store has the whole document at one version.
+ * Refers to a snapshot in the store: the full document at one version.
  *
  * <p>Immutable.
  *
- * @param slot which of the few keys that snapshots take in turn
- * @param parts number of values it is cut into
- * @param hash of the joined bytes
+ * @param slot which of the keys that snapshots use in turn
+ * @param parts number of values that the snapshot is split into
+ * @param hash hash of the joined bytes
  */
 record SnapshotRef(long version, int slot, int parts, long hash) {}
--- a/src/main/java/io/beryldock/configuration/StartWait.java
+++ b/src/main/java/io/beryldock/configuration/StartWait.java
@@ -12,94 +12,96 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The wait of a node that starts until it knows the highest version.
+ * Delays the start of a node until it knows the highest version of the configuration.
  *
- * <p>On the control thread only. Guards against a restarted node that serves on the defaults of its release: it would
- * show as drained targets that get work and changed priorities that are forgotten, for seconds after every start. The
- * store's answer ends the wait, or the answers of {@link #PEERS_ENOUGH} peers, so that a fleet that starts all at once
- * does not need the store for each node; while the store is down, the answers of all peers there are.
+ * <p>Confined to the control thread. Guards against a restarted node that serves with the defaults of its release: for
+ * seconds after every start, drained targets would get requests and changed priorities would be ignored. The wait ends
+ * when the store has answered, or when {@link #REQUIRED_PEERS} peers have answered, so that a fleet whose nodes all
+ * start at once does not need one store read per node. While the store is down, the answers of all known peers suffice
+ * if there are fewer.
  */
 final class StartWait {
 
-    /** After this the node serves on what it has. */
-    static final Duration LONGEST = Duration.ofSeconds(5);
+    /** Maximum wait; after this, the node serves with the version that it has. */
+    static final Duration MAX_WAIT = Duration.ofSeconds(5);
 
-    static final int PEERS_ENOUGH = 3;
+    static final int REQUIRED_PEERS = 3;
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
     private static final Duration STORE_JITTER = Duration.ofMillis(500);
-    /** Time for peers to tell what a store without a configuration has lost. */
-    private static final Duration PEERS_TIME = Duration.ofSeconds(2);
+    /** Time for peers to report a configuration that an empty store may have lost. */
+    private static final Duration PEER_REPLY_TIME = Duration.ofSeconds(2);
 
-    private static final Duration ASK_AGAIN = Duration.ofMillis(500);
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(500);
 
-    private final ConfigurationKeeper keeper;
+    private final ConfigurationKeeper activeConfiguration;
     private final StoreWatch watch;
     private final TimerService timers;
     private final RandomGenerator random;
     private final CompletableFuture<StartReport> done = new CompletableFuture<>();
     private final Set<InetSocketAddress> answered = new HashSet<>();
-    private int asked;
+    private int queriedPeers;
     private boolean storeFailed;
     private boolean storeEmpty;
     private long highest;
-    private TimerService.Subscription changes = () -> {};
+    private TimerService.Subscription changeSubscription = () -> {};
 
-    private StartWait(ConfigurationKeeper keeper, StoreWatch watch, ConfigurationSync.Ports ports) {
-        this.keeper = keeper;
+    private StartWait(ConfigurationKeeper activeConfiguration, StoreWatch watch, ConfigurationSync.Ports ports) {
+        this.activeConfiguration = activeConfiguration;
         this.watch = watch;
         this.timers = ports.timers();
         this.random = ports.random();
     }
 
-    static StartWait create(ConfigurationKeeper keeper, StoreWatch watch, ConfigurationSync.Ports ports) {
-        return new StartWait(keeper, watch, ports);
+    static StartWait create(ConfigurationKeeper activeConfiguration, StoreWatch watch, ConfigurationSync.Ports ports) {
+        return new StartWait(activeConfiguration, watch, ports);
     }
 
-    CompletableFuture<StartReport> begin(ImmutableList<InetSocketAddress> peers, Consumer<InetSocketAddress> ask) {
-        asked = peers.size();
-        changes = keeper.onChange(next -> checkPeers());
-        askPeers(peers, ask);
+    CompletableFuture<StartReport> begin(
+            ImmutableList<InetSocketAddress> peers, Consumer<InetSocketAddress> sendRequest) {
+        queriedPeers = peers.size();
+        changeSubscription = activeConfiguration.onChange(next -> checkPeers());
+        queryPeers(peers, sendRequest);
         long jitter = peers.isEmpty() ? 0 : random.nextLong(STORE_JITTER.toNanos());
-        timers.after(Duration.ofNanos(jitter), this::askStore);
-        timers.after(LONGEST, this::giveUp);
+        timers.after(Duration.ofNanos(jitter), this::readStore);
+        timers.after(MAX_WAIT, this::onTimeout);
         return done;
     }
 
-    private void askPeers(ImmutableList<InetSocketAddress> peers, Consumer<InetSocketAddress> ask) {
+    private void queryPeers(ImmutableList<InetSocketAddress> peers, Consumer<InetSocketAddress> sendRequest) {
         if (done.isDone()) {
             return;
         }
-        peers.forEach(ask);
-        timers.after(ASK_AGAIN, () -> askPeers(peers, ask));
+        peers.forEach(sendRequest);
+        timers.after(RETRY_INTERVAL, () -> queryPeers(peers, sendRequest));
     }
 
-    private void askStore() {
+    private void readStore() {
         if (done.isDone()) {
             return;
         }
-        watch.read().thenAccept(this::storeRead);
+        watch.read().thenAccept(this::onStoreRead);
     }
 
-    private void storeRead(StoreWatch.ReadOutcome outcome) {
+    private void onStoreRead(StoreWatch.ReadOutcome outcome) {
         switch (outcome) {
-            case TAKEN -> finish(true);
+            case ADOPTED -> finish(true);
             case EMPTY -> {
-                // Either nothing was ever changed, or the store lost it all and peers still have it.
+                // Either no change was ever made, or the store lost all changes and peers still have them.
                 storeEmpty = true;
                 checkPeers();
-                timers.after(asked == 0 ? Duration.ZERO : PEERS_TIME, () -> finish(true));
+                timers.after(queriedPeers == 0 ? Duration.ZERO : PEER_REPLY_TIME, () -> finish(true));
             }
             case FAILED -> {
                 storeFailed = true;
                 checkPeers();
-                timers.after(ASK_AGAIN, this::askStore);
+                timers.after(RETRY_INTERVAL, this::readStore);
             }
         }
     }
 
-    /** Notes what a peer has. */
+    /** Records the version that a peer holds. */
     void onDigest(InetSocketAddress peer, long version) {
         answered.add(peer);
         highest = Math.max(highest, version);
@@ -108,24 +110,26 @@
 
     private void checkPeers() {
         boolean withoutStore = storeFailed || storeEmpty;
-        int enough = withoutStore ? Math.max(1, Math.min(asked, PEERS_ENOUGH)) : PEERS_ENOUGH;
-        boolean told = answered.size() >= enough && (storeEmpty || highest > Configuration.DEFAULTS_VERSION);
-        if (told && keeper.current().version() >= highest) {
+        int required = withoutStore ? Math.max(1, Math.min(queriedPeers, REQUIRED_PEERS)) : REQUIRED_PEERS;
+        boolean confirmedByPeers =
+                answered.size() >= required && (storeEmpty || highest > Configuration.DEFAULTS_VERSION);
+        if (confirmedByPeers && activeConfiguration.current().version() >= highest) {
             finish(true);
         }
     }
 
-    private void giveUp() {
+    private void onTimeout() {
         if (!done.isDone()) {
             log.atWarning().log(
-                    "neither the platform store nor enough peers told the highest configuration; serving on version %d",
-                    keeper.current().version());
+                    "neither the platform store nor enough peers reported the highest configuration version;"
+                            + " serving with version %d",
+                    activeConfiguration.current().version());
             finish(false);
         }
     }
 
     private void finish(boolean confirmed) {
-        changes.cancel();
-        done.complete(new StartReport(keeper.current().version(), confirmed));
+        changeSubscription.cancel();
+        done.complete(new StartReport(activeConfiguration.current().version(), confirmed));
     }
 }
--- a/src/main/java/io/beryldock/configuration/StoreCompactor.java
+++ b/src/main/java/io/beryldock/configuration/StoreCompactor.java
@@ -14,18 +14,18 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Moves changes out of a head that has grown: a block of its oldest to the ring of blocks and now and then a snapshot.
+ * Moves the oldest changes from a long head to a block in the ring of blocks and writes a snapshot from time to time.
  *
- * <p>Immutable, thread safe. Nothing refers to what it writes until the head does, so a failure leaves the old state
- * whole; the change then goes into the head as it is.
+ * <p>Immutable, thread safe. Values written here are not referenced until the head refers to them, so a failure leaves
+ * the previous state intact; the change is then added to the uncompacted head.
  *
- * <p>A value in a ring is replaced only by a later one, and only by compare-and-set. That guards against a writer that
- * was paused between its read and its write: with an old value it would overwrite the snapshot that the head refers to
- * now, and every node that starts would fail to read it.
+ * <p>A value in a ring is replaced only by a later value, and only by compare-and-set. This guards against a writer
+ * that was paused between its read and its write: it would overwrite the snapshot that the current head refers to with
+ * an old value, and every starting node would fail to read the snapshot.
  */
 final class StoreCompactor {
 
-    /** Size of a part of a snapshot, half of what the store takes. */
+    /** Size of a snapshot part, half of the largest value that the store accepts. */
     static final int PART_BYTES = PlatformStore.MAX_VALUE_BYTES / 2;
 
     private final PlatformStore store;
@@ -38,8 +38,8 @@
         return new StoreCompactor(store);
     }
 
-    /** A shorter head, or the same one when it is short enough or a write failed. */
-    CompletableFuture<StoredHead> compact(StoredHead head, Configuration atHead) {
+    /** Returns a shorter head, or the same head if it is short enough or a write failed. */
+    CompletableFuture<StoredHead> compact(StoredHead head, Configuration configuration) {
         if (head.records().size() < 2 * StoreKeys.BLOCK) {
             return CompletableFuture.completedFuture(head);
         }
@@ -48,14 +48,16 @@
                 return CompletableFuture.completedFuture(head);
             }
             StoredHead shorter = head.without(head.reach() + StoreKeys.BLOCK);
-            boolean fresh = shorter.reach() - head.snapshot().version() < StoreKeys.SNAPSHOT_SPACING;
-            return fresh ? CompletableFuture.completedFuture(shorter) : snapshotted(shorter, atHead);
+            boolean recentSnapshot = shorter.reach() - head.snapshot().version() < StoreKeys.SNAPSHOT_SPACING;
+            return recentSnapshot
+                    ? CompletableFuture.completedFuture(shorter)
+                    : withNewSnapshot(shorter, configuration);
         });
     }
 
-    private CompletableFuture<StoredHead> snapshotted(StoredHead head, Configuration atHead) {
+    private CompletableFuture<StoredHead> withNewSnapshot(StoredHead head, Configuration configuration) {
         int slot = (head.snapshot().slot() + 1) % StoreKeys.SNAPSHOT_SLOTS;
-        return writeSnapshot(atHead, slot)
+        return writeSnapshot(configuration, slot)
                 .thenApply(ref -> ref.map(head::withSnapshot).orElse(head));
     }
 
@@ -73,10 +75,10 @@
         return ConfigurationBlock.parseFrom(value).getNumber();
     }
 
-    /** Writes all parts of a snapshot; empty when one could not be written. */
+    /** Writes all parts of a snapshot; completes with an empty result if a part could not be written. */
     CompletableFuture<Optional<SnapshotRef>> writeSnapshot(Configuration document, int slot) {
         ImmutableList<ConfigurationPart> parts =
-                DocumentCodec.cut(document.version(), DocumentCodec.encode(document, ImmutableList.of()), PART_BYTES);
+                DocumentCodec.split(document.version(), DocumentCodec.encode(document, ImmutableList.of()), PART_BYTES);
         List<CompletableFuture<Boolean>> writes = new ArrayList<>();
         for (ConfigurationPart part : parts) {
             String key = StoreKeys.part(document.lineage(), slot, part.getIndex());
@@ -91,41 +93,42 @@
         return ConfigurationPart.parseFrom(value).getVersion();
     }
 
-    /** Reads the order of a stored value; a later one is never replaced by an earlier. */
+    /** Reads the sequence number of a stored value; a value is never replaced by one with a lower number. */
     @FunctionalInterface
-    private interface OrderOf {
+    private interface SequenceReader {
         long read(ByteString value) throws InvalidProtocolBufferException;
     }
 
-    private CompletableFuture<Boolean> replaceEarlier(String key, ByteString value, long order, OrderOf orderOf) {
+    private CompletableFuture<Boolean> replaceEarlier(
+            String key, ByteString value, long sequence, SequenceReader sequenceReader) {
         return store.get(key)
                 .thenCompose(old -> {
                     if (old.isPresent() && old.get().value().equals(value)) {
                         return CompletableFuture.completedFuture(true);
                     }
-                    if (old.isPresent() && !isEarlier(old.get(), order, orderOf)) {
+                    if (old.isPresent() && !isEarlier(old.get(), sequence, sequenceReader)) {
                         return CompletableFuture.completedFuture(false);
                     }
                     long expected = old.map(StoredValue::version).orElse(PlatformStore.ABSENT);
                     return store.compareAndSet(key, expected, value)
-                            .thenCompose(result -> isWritten(result, key, value));
+                            .thenCompose(result -> verifyWritten(result, key, value));
                 })
                 .exceptionally(failure -> false);
     }
 
-    private static boolean isEarlier(StoredValue old, long order, OrderOf orderOf) {
+    private static boolean isEarlier(StoredValue old, long sequence, SequenceReader sequenceReader) {
         try {
-            return orderOf.read(old.value()) < order;
+            return sequenceReader.read(old.value()) < sequence;
         } catch (InvalidProtocolBufferException e) {
             return true;
         }
     }
 
-    private CompletableFuture<Boolean> isWritten(WriteResult result, String key, ByteString value) {
+    private CompletableFuture<Boolean> verifyWritten(WriteResult result, String key, ByteString value) {
         if (result.kind() == WriteResult.Kind.APPLIED) {
             return CompletableFuture.completedFuture(true);
         }
-        // Two writers at the same head write the same bytes, so it does not matter whose were taken.
+        // Writers with the same head write the same bytes, so it does not matter which write took effect.
         return store.get(key)
                 .thenApply(now -> now.isPresent() && now.get().value().equals(value));
     }
--- a/src/main/java/io/beryldock/configuration/StoreRestore.java
+++ b/src/main/java/io/beryldock/configuration/StoreRestore.java
@@ -8,15 +8,15 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Gives a store that lost accepted changes the configuration of this node.
+ * Writes this node's configuration to a store that has lost accepted changes.
  *
- * <p>On the control thread only. The failure: the store is set back to an earlier state; later changes would get
- * versions that nodes hold already and be in force nowhere. The document is therefore written under a new lineage and a
- * version {@value #GAP} or more above this node's, which no node of the old lineage can have reached.
+ * <p>Confined to the control thread. If the store is reset to an earlier state, later changes get versions that nodes
+ * already hold, and would come into force on no node. The document is therefore written under a new lineage and with a
+ * version at least {@value #GAP} above this node's version, which no node of the old lineage can have reached.
  */
 final class StoreRestore {
 
-    /** More changes than are made in two months. */
+    /** Distance to the restored version: more changes than are made in two months. */
     static final long GAP = 1 << 20;
 
     private final WriterContext context;
@@ -34,46 +34,46 @@
     }
 
     CompletableFuture<ChangeResult> run() {
-        Configuration known = context.keeper().current();
+        Configuration current = context.activeConfiguration().current();
         return context.reader()
                 .readHead()
-                .thenComposeAsync(head -> write(head, known), context.control())
-                .exceptionally(failure -> storeDown());
+                .thenComposeAsync(head -> write(head, current), context.control())
+                .exceptionally(failure -> storeUnavailable());
     }
 
-    private CompletableFuture<ChangeResult> write(Optional<StoredHead> head, Configuration known) {
-        if (head.isPresent() && head.get().version() >= known.version()) {
+    private CompletableFuture<ChangeResult> write(Optional<StoredHead> head, Configuration current) {
+        if (head.isPresent() && head.get().version() >= current.version()) {
             return CompletableFuture.completedFuture(new ChangeResult.Rejected(
                     "the platform store holds version " + head.get().version() + " and lost nothing",
                     "nothing needs to be done"));
         }
-        long blocks = (known.version() + GAP) / StoreKeys.BLOCK + 1;
-        Configuration document = known.at(lineage, blocks * StoreKeys.BLOCK);
+        long blocks = (current.version() + GAP) / StoreKeys.BLOCK + 1;
+        Configuration document = current.withVersion(lineage, blocks * StoreKeys.BLOCK);
         long expected = head.map(StoredHead::storeVersion).orElse(PlatformStore.ABSENT);
         return context.compactor()
                 .writeSnapshot(document, 0)
                 .thenCompose(ref -> ref.map(snapshot -> writeHead(document, snapshot, expected))
-                        .orElseGet(() -> CompletableFuture.completedFuture(storeDown())));
+                        .orElseGet(() -> CompletableFuture.completedFuture(storeUnavailable())));
     }
 
     private CompletableFuture<ChangeResult> writeHead(Configuration document, SnapshotRef snapshot, long expected) {
         StoredHead head = new StoredHead(expected, lineage, document.version(), snapshot, ImmutableList.of());
         return context.store()
                 .compareAndSet(StoreKeys.HEAD, expected, head.encode())
-                .thenApplyAsync(result -> written(result, document), context.control());
+                .thenApplyAsync(result -> onWritten(result, document), context.control());
     }
 
-    private ChangeResult written(WriteResult result, Configuration document) {
+    private ChangeResult onWritten(WriteResult result, Configuration document) {
         return switch (result.kind()) {
             case APPLIED -> accepted(document);
             case UNKNOWN -> new ChangeResult.Unknown(lineage, "look at show configuration in a few seconds");
             case CONFLICT -> new ChangeResult.NotAccepted("another operator wrote first; look at show configuration");
-            case NOT_APPLIED -> storeDown();
+            case NOT_APPLIED -> storeUnavailable();
         };
     }
 
     private ChangeResult accepted(Configuration document) {
-        context.keeper().take(document, ImmutableList.of());
+        context.activeConfiguration().adopt(document, ImmutableList.of());
         context.events()
                 .record(
                         EventKind.CONFIGURATION_CHANGED,
@@ -82,7 +82,7 @@
         return new ChangeResult.Accepted(document.version(), lineage);
     }
 
-    private static ChangeResult storeDown() {
+    private static ChangeResult storeUnavailable() {
         return new ChangeResult.NotAccepted("the platform store can't be reached; restore it when it is back");
     }
 }
--- a/src/main/java/io/beryldock/configuration/StoreWatch.java
+++ b/src/main/java/io/beryldock/configuration/StoreWatch.java
@@ -14,10 +14,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Reads the head from the store and watches it while this node is one of its data centre's watchers.
+ * Reads the head from the store, and watches it while this node is one of the watchers of its data centre.
  *
- * <p>On the control thread only. A watch waits for {@link #WAIT}; each counts as one call of the store. That is short,
- * so that a watch whose connection has gone silent blinds a watcher for seconds only.
+ * <p>Confined to the control thread. Each watch waits for up to {@link #WAIT} and counts as one store call. The wait is
+ * short, so that a watch on a connection that no longer delivers packets keeps a watcher from seeing changes for a few
+ * seconds only.
  */
 final class StoreWatch {
 
@@ -28,113 +29,114 @@
     private static final Duration FIRST_RETRY = Duration.ofMillis(500);
     private static final Duration LAST_RETRY = Duration.ofSeconds(4);
     private static final int MAX_DOUBLINGS = 3;
-    /** Watches without news after which the head is read whatever its version. */
-    private static final int FRESH_EVERY = 6;
+    /** One in this many watches returns the stored head whatever its version. */
+    private static final int UNCONDITIONAL_EVERY = 6;
 
     private final PlatformStore store;
     private final ConfigurationStore reader;
-    private final ConfigurationKeeper keeper;
+    private final ConfigurationKeeper activeConfiguration;
     private final TimerService timers;
     private final Executor control;
     private final RandomGenerator random;
     private final EventSink events;
 
-    private boolean wanted;
+    private boolean enabled;
     private boolean running;
     private long storeVersion = PlatformStore.ABSENT;
     private int failures;
-    private int quietWatches;
-    private boolean lossNoted;
+    private int watches;
+    private boolean lossLogged;
 
-    private StoreWatch(PlatformStore store, ConfigurationKeeper keeper, ConfigurationSync.Ports ports) {
+    private StoreWatch(PlatformStore store, ConfigurationKeeper activeConfiguration, ConfigurationSync.Ports ports) {
         this.store = store;
         this.reader = ConfigurationStore.of(store);
-        this.keeper = keeper;
+        this.activeConfiguration = activeConfiguration;
         this.timers = ports.timers();
         this.control = ports.control();
         this.random = ports.random();
         this.events = ports.events();
     }
 
-    static StoreWatch create(ConfigurationKeeper keeper, ConfigurationSync.Ports ports) {
-        return new StoreWatch(TimedStore.of(ports.store(), ports.timers()), keeper, ports);
+    static StoreWatch create(ConfigurationKeeper activeConfiguration, ConfigurationSync.Ports ports) {
+        return new StoreWatch(TimedStore.of(ports.store(), ports.timers()), activeConfiguration, ports);
     }
 
-    /** Says whether this node is a watcher; a watch under way ends by itself. */
-    void want(boolean watching) {
-        wanted = watching;
-        if (wanted && !running) {
+    /** Sets whether this node is a watcher; a watch under way ends on its own. */
+    void setWatching(boolean watching) {
+        enabled = watching;
+        if (enabled && !running) {
             running = true;
             watch();
         }
     }
 
-    /** What reading the head came to. */
+    /** The outcome of reading the head. */
     enum ReadOutcome {
-        /** What the store has is in force here. */
-        TAKEN,
-        /** The store answered that it has no configuration. */
+        /** The stored configuration, or a higher version, is in force at this node. */
+        ADOPTED,
+        /** The store answered that it holds no configuration. */
         EMPTY,
         FAILED
     }
 
-    /** Reads the head once. */
+    /** Reads the head once, outside the sequence of watches. */
     CompletableFuture<ReadOutcome> read() {
-        long inForceBefore = keeper.current().version();
+        long inForceBefore = activeConfiguration.current().version();
         return store.get(StoreKeys.HEAD)
-                .thenComposeAsync(stored -> readValue(stored, inForceBefore), control)
+                .thenComposeAsync(stored -> adoptStored(stored, inForceBefore), control)
                 .handleAsync((outcome, failure) -> failure == null ? outcome : ReadOutcome.FAILED, control);
     }
 
-    private CompletableFuture<ReadOutcome> readValue(Optional<StoredValue> stored, long inForceBefore) {
+    private CompletableFuture<ReadOutcome> adoptStored(Optional<StoredValue> stored, long inForceBefore) {
         if (stored.isEmpty()) {
             storeVersion = PlatformStore.ABSENT;
-            noteIfLost(Configuration.DEFAULTS_VERSION, inForceBefore);
+            logIfChangesLost(Configuration.DEFAULTS_VERSION, inForceBefore);
             return CompletableFuture.completedFuture(ReadOutcome.EMPTY);
         }
-        return take(stored, inForceBefore).thenApply(taken -> ReadOutcome.TAKEN);
+        return adoptHead(stored, inForceBefore).thenApply(ignored -> ReadOutcome.ADOPTED);
     }
 
     private void watch() {
-        if (!wanted) {
+        if (!enabled) {
             running = false;
             return;
         }
-        long inForceBefore = keeper.current().version();
+        long inForceBefore = activeConfiguration.current().version();
         store.watch(StoreKeys.HEAD, afterVersion(), WAIT)
-                .thenComposeAsync(stored -> take(stored, inForceBefore), control)
-                .whenCompleteAsync((taken, failure) -> watched(failure), control);
+                .thenComposeAsync(stored -> adoptHead(stored, inForceBefore), control)
+                .whenCompleteAsync((ignored, failure) -> onWatchEnded(failure), control);
     }
 
     /**
-     * The store's version to wait for a higher one of.
+     * Returns the store version after which the next watch waits for a change.
      *
-     * <p>Guards against a store that was set back: its versions begin again below the one last seen, and a watcher
-     * would wait for good. So now and then it takes whatever is there.
+     * <p>Guards against a store that was reset to an older state: its versions restart below the last one seen, and a
+     * watcher that waits for a higher version would wait forever. Therefore one in {@link #UNCONDITIONAL_EVERY} watches
+     * accepts any version.
      */
     private long afterVersion() {
-        quietWatches++;
-        if (quietWatches % FRESH_EVERY == 0) {
+        watches++;
+        if (watches % UNCONDITIONAL_EVERY == 0) {
             return PlatformStore.ABSENT;
         }
         return storeVersion;
     }
 
-    private void watched(Throwable failure) {
+    private void onWatchEnded(Throwable failure) {
         if (failure == null) {
-            noteBack();
+            recordStoreBack();
             watch();
             return;
         }
-        noteDown(failure);
+        recordStoreDown(failure);
         timers.after(retryDelay(), this::readAndWatch);
     }
 
     /**
      * Reads the head before the next watch.
      *
-     * <p>Guards against watches that go silent while other calls work, as on a connection that something between the
-     * two ends has lost track of: without the read the watcher would learn of nothing, watch after watch.
+     * <p>Guards against watches that never return while other calls work, for example on a connection whose state a
+     * middlebox has lost: without the read, the watcher would never see a change.
      */
     private void readAndWatch() {
         read().thenAcceptAsync(
@@ -149,17 +151,17 @@
                         control);
     }
 
-    private void noteDown(Throwable failure) {
+    private void recordStoreDown(Throwable failure) {
         if (failures++ == 0) {
             String cause = Throwables.getRootCause(failure).getMessage();
             events.record(EventKind.STORE_DOWN, "configuration", String.valueOf(cause));
             log.atWarning().log(
-                    "the platform store can't be read; version %d stays in force: %s",
-                    keeper.current().version(), cause);
+                    "platform store cannot be read; configuration version %d stays in force: %s",
+                    activeConfiguration.current().version(), cause);
         }
     }
 
-    private void noteBack() {
+    private void recordStoreBack() {
         if (failures > 0) {
             events.record(EventKind.STORE_BACK, "configuration", "after " + failures + " failed watches");
             failures = 0;
@@ -168,39 +170,39 @@
 
     private Duration retryDelay() {
         long nanos = FIRST_RETRY.toNanos() << Math.min(failures - 1, MAX_DOUBLINGS);
-        long most = Math.min(nanos, LAST_RETRY.toNanos());
-        return Duration.ofNanos(most / 2 + random.nextLong(most / 2));
+        long maxDelay = Math.min(nanos, LAST_RETRY.toNanos());
+        return Duration.ofNanos(maxDelay / 2 + random.nextLong(maxDelay / 2));
     }
 
-    private CompletableFuture<Void> take(Optional<StoredValue> stored, long inForceBefore) {
+    private CompletableFuture<Void> adoptHead(Optional<StoredValue> stored, long inForceBefore) {
         return ConfigurationStore.decodeHead(stored)
-                .thenCompose(head -> head.map(found -> take(found, inForceBefore))
+                .thenCompose(head -> head.map(found -> adoptHead(found, inForceBefore))
                         .orElseGet(() -> CompletableFuture.completedFuture(null)));
     }
 
-    private CompletableFuture<Void> take(StoredHead head, long inForceBefore) {
-        Configuration current = keeper.current();
-        noteIfLost(head.version(), inForceBefore);
+    private CompletableFuture<Void> adoptHead(StoredHead head, long inForceBefore) {
+        Configuration current = activeConfiguration.current();
+        logIfChangesLost(head.version(), inForceBefore);
         if (head.version() <= current.version()) {
             storeVersion = head.storeVersion();
             return CompletableFuture.completedFuture(null);
         }
-        return reader.load(head, current).thenAcceptAsync(whole -> inForce(head, whole), control);
+        return reader.load(head, current).thenAcceptAsync(document -> onLoaded(head, document), control);
     }
 
-    private void noteIfLost(long stored, long inForceBefore) {
-        if (stored < inForceBefore && !lossNoted) {
-            lossNoted = true;
+    private void logIfChangesLost(long stored, long inForceBefore) {
+        if (stored < inForceBefore && !lossLogged) {
+            lossLogged = true;
             log.atSevere().log(
-                    "the platform store lost accepted changes: it holds version %d, this node %d;"
-                            + " give it back with restore configuration",
+                    "platform store lost accepted changes: it holds version %d, this node holds version %d;"
+                            + " write this node's configuration back with 'restore configuration'",
                     stored, inForceBefore);
         }
     }
 
-    private void inForce(StoredHead head, DocumentCodec.Whole whole) {
-        keeper.take(whole.configuration(), whole.recent());
+    private void onLoaded(StoredHead head, DocumentCodec.Document document) {
+        activeConfiguration.adopt(document.configuration(), document.recent());
         storeVersion = head.storeVersion();
-        lossNoted = false;
+        lossLogged = false;
     }
 }
--- a/src/main/java/io/beryldock/configuration/StoredHead.java
+++ b/src/main/java/io/beryldock/configuration/StoredHead.java
@@ -10,11 +10,12 @@
 import java.util.Optional;
 
 /**
- * The one value in the store whose compare-and-set puts all changes in one order.
+ * The value in the store whose compare-and-set orders all changes.
  *
- * <p>Immutable. Invariant: the records are the last changes without a gap, the last of them made {@code version}.
+ * <p>Immutable. Invariant: the records are the most recent changes, without gaps; the last record is the change that
+ * created {@code version}.
  *
- * @param storeVersion version that the store gave the value, 0 before it is written
+ * @param storeVersion version that the store assigned to the value, 0 before it is first written
  */
 record StoredHead(
         long storeVersion, String lineage, long version, SnapshotRef snapshot, ImmutableList<ChangeRecord> records) {
@@ -55,24 +56,24 @@
                 .toByteString();
     }
 
-    /** The version before the oldest change in the head. */
+    /** Returns the version before the oldest change in the head. */
     long reach() {
         return version - records.size();
     }
 
-    /** The change that made the version, if the head still has it. */
+    /** Returns the change that created the version, if the head still contains it. */
     Optional<ChangeRecord> change(long ofVersion) {
         long index = ofVersion - reach() - 1;
         return index < 0 || index >= records.size() ? Optional.empty() : Optional.of(records.get((int) index));
     }
 
-    /** Changes in the head after the version. */
+    /** Returns the changes in the head after the version. */
     ImmutableList<ChangeRecord> after(long ofVersion) {
         int from = (int) Math.min(records.size(), Math.max(0, ofVersion - reach()));
         return records.subList(from, records.size());
     }
 
-    /** The head with one more change. */
+    /** Returns the head with one more change. */
     StoredHead plus(ChangeRecord change) {
         ImmutableList<ChangeRecord> all = ImmutableList.<ChangeRecord>builderWithExpectedSize(records.size() + 1)
                 .addAll(records)
@@ -85,7 +86,7 @@
         return new StoredHead(storeVersion, lineage, version, ref, records);
     }
 
-    /** The head without its oldest changes up to the version. */
+    /** Returns the head without its oldest changes, up to and including the version. */
     StoredHead without(long upTo) {
         return new StoredHead(storeVersion, lineage, version, snapshot, after(upTo));
     }
--- a/src/main/java/io/beryldock/configuration/SurveyTally.java
+++ b/src/main/java/io/beryldock/configuration/SurveyTally.java
@@ -8,17 +8,17 @@
 import java.util.List;
 
 /**
- * Which versions a group of nodes holds, summed up. Immutable.
+ * Summary of the versions that a group of nodes holds. Immutable.
  *
- * @param lowest the lowest version answered, {@link #NO_ANSWER} when there is none
- * @param behind some of those that hold a lower version or did not answer
+ * @param lowest the lowest version that a node answered with, {@link #NO_ANSWER} if no node answered
+ * @param behind some of the nodes that hold a lower version or did not answer
  */
 record SurveyTally(int nodes, int answered, int holding, long lowest, ImmutableList<NodeId> behind) {
 
     static final long NO_ANSWER = -1;
     static final SurveyTally EMPTY = new SurveyTally(0, 0, 0, NO_ANSWER, ImmutableList.of());
 
-    /** Names that a tally carries at most. */
+    /** Maximum number of node names in a tally. */
     static final int MAX_NAMES = 5;
 
     static SurveyTally ofNode(NodeId node, long held, long asked) {
@@ -26,7 +26,7 @@
         return new SurveyTally(1, 1, holds ? 1 : 0, held, holds ? ImmutableList.of() : ImmutableList.of(node));
     }
 
-    static SurveyTally silent(List<NodeDescriptor> nodes) {
+    static SurveyTally unanswered(List<NodeDescriptor> nodes) {
         ImmutableList<NodeId> names =
                 nodes.stream().limit(MAX_NAMES).map(NodeDescriptor::id).collect(ImmutableList.toImmutableList());
         return new SurveyTally(nodes.size(), 0, 0, NO_ANSWER, names);
@@ -41,19 +41,19 @@
                 nodes + other.nodes,
                 answered + other.answered,
                 holding + other.holding,
-                lower(lowest, other.lowest),
+                lowerAnswered(lowest, other.lowest),
                 names.subList(0, Math.min(MAX_NAMES, names.size())));
     }
 
-    private static long lower(long a, long b) {
+    private static long lowerAnswered(long a, long b) {
         if (a == NO_ANSWER || b == NO_ANSWER) {
             return Math.max(a, b);
         }
         return Math.min(a, b);
     }
 
-    InForceReport.Line line(DataCentre place) {
-        return new InForceReport.Line(place, nodes, answered, holding, lowest, behind);
+    InForceReport.Line line(DataCentre dataCentre) {
+        return new InForceReport.Line(dataCentre, nodes, answered, holding, lowest, behind);
     }
 
     ConfigurationSurveyReply encode(long id) {
--- a/src/main/java/io/beryldock/configuration/TimedStore.java
+++ b/src/main/java/io/beryldock/configuration/TimedStore.java
@@ -13,11 +13,11 @@
 import java.util.function.Consumer;
 
 /**
- * A platform store whose calls always end.
+ * A platform store that applies a timeout to every call.
  *
- * <p>Thread safe. Guards against a call that never completes, for example on a connection that has gone silent: it
- * would show as an operator's command that hangs, or a watcher that is blind for good. A read then fails, and a
- * compare-and-set ends as unknown, which is true: it may have taken effect.
+ * <p>Thread safe. Guards against calls that never complete, for example on a connection that no longer delivers
+ * packets: without the timeout an operator's command would hang, or a store watcher would never again see a change.
+ * After the timeout a read fails and a compare-and-set completes as unknown, because it may have taken effect.
  */
 final class TimedStore implements PlatformStore {
 
@@ -37,42 +37,42 @@
 
     @Override
     public CompletableFuture<Optional<StoredValue>> get(String key) {
-        return within(CALL_TIMEOUT, store.get(key), TimedStore::fail);
+        return withTimeout(CALL_TIMEOUT, store.get(key), TimedStore::fail);
     }
 
     @Override
     public CompletableFuture<WriteResult> compareAndSet(String key, long expectedVersion, ByteString value) {
         CompletableFuture<WriteResult> write = store.compareAndSet(key, expectedVersion, value);
-        return within(CALL_TIMEOUT, write, late -> late.complete(WriteResult.unknown()));
+        return withTimeout(CALL_TIMEOUT, write, pending -> pending.complete(WriteResult.unknown()));
     }
 
     @Override
     public CompletableFuture<Boolean> lease(String name, String holder, Duration length) {
-        return within(CALL_TIMEOUT, store.lease(name, holder, length), TimedStore::fail);
+        return withTimeout(CALL_TIMEOUT, store.lease(name, holder, length), TimedStore::fail);
     }
 
     @Override
     public CompletableFuture<Optional<StoredValue>> watch(String key, long afterVersion, Duration wait) {
-        return within(wait.plus(CALL_TIMEOUT), store.watch(key, afterVersion, wait), TimedStore::fail);
+        return withTimeout(wait.plus(CALL_TIMEOUT), store.watch(key, afterVersion, wait), TimedStore::fail);
     }
 
-    private static void fail(CompletableFuture<?> late) {
-        late.completeExceptionally(
+    private static void fail(CompletableFuture<?> pending) {
+        pending.completeExceptionally(
                 new PlatformException("the platform store did not answer in time; see whether it is up"));
     }
 
-    private <T> CompletableFuture<T> within(
+    private <T> CompletableFuture<T> withTimeout(
             Duration time, CompletableFuture<T> call, Consumer<CompletableFuture<T>> onTimeout) {
-        CompletableFuture<T> bounded = new CompletableFuture<>();
-        Subscription timer = timers.after(time, () -> onTimeout.accept(bounded));
+        CompletableFuture<T> result = new CompletableFuture<>();
+        Subscription timer = timers.after(time, () -> onTimeout.accept(result));
         call.whenComplete((value, failure) -> {
             timer.cancel();
             if (failure == null) {
-                bounded.complete(value);
+                result.complete(value);
             } else {
-                bounded.completeExceptionally(failure);
+                result.completeExceptionally(failure);
             }
         });
-        return bounded;
+        return result;
     }
 }
--- a/src/main/java/io/beryldock/configuration/WriterContext.java
+++ b/src/main/java/io/beryldock/configuration/WriterContext.java
@@ -11,12 +11,12 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
-/** What all writes of one node share. Immutable; its parts are used on the control thread. */
+/** Collaborators that all writes of one node share. Immutable; the collaborators are used on the control thread. */
 record WriterContext(
         PlatformStore store,
         ConfigurationStore reader,
         StoreCompactor compactor,
-        ConfigurationKeeper keeper,
+        ConfigurationKeeper activeConfiguration,
         Executor control,
         TimerService timers,
         InstantSource clock,
@@ -26,12 +26,13 @@
     private static final int ID_BYTES = 16;
     private static final int LINEAGE_BYTES = 8;
 
-    static WriterContext of(PlatformStore store, ConfigurationKeeper keeper, ConfigurationWriter.Ports ports) {
+    static WriterContext of(
+            PlatformStore store, ConfigurationKeeper activeConfiguration, ConfigurationWriter.Ports ports) {
         return new WriterContext(
                 store,
                 ConfigurationStore.of(store),
                 StoreCompactor.of(store),
-                keeper,
+                activeConfiguration,
                 ports.control(),
                 ports.timers(),
                 ports.clock(),
@@ -53,8 +54,11 @@
         return BaseEncoding.base16().lowerCase().encode(bytes);
     }
 
-    /** Runs the step after between half of and the whole delay, so that writers in conflict part. */
-    <T> CompletableFuture<T> later(Duration delay, Supplier<CompletableFuture<T>> step) {
+    /**
+     * Runs the step after a random delay between half and all of {@code delay}, so that conflicting writers do not
+     * retry at the same time.
+     */
+    <T> CompletableFuture<T> runAfterJitter(Duration delay, Supplier<CompletableFuture<T>> step) {
         CompletableFuture<T> result = new CompletableFuture<>();
         long nanos = delay.toNanos() / 2 + random.nextLong(delay.toNanos() / 2 + 1);
         timers.after(
--- a/src/main/java/io/beryldock/configuration/package-info.java
+++ b/src/main/java/io/beryldock/configuration/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Operators' configuration: one versioned document of routes, priority classes, retry budgets, service limits and
- * drains, how it is changed in the platform store and how it reaches every node.
+ * The operators' configuration: one versioned document of routes, priority classes, retry budgets, service limits and
+ * drains; how changes are written to the platform store, and how they are distributed to every node.
  */
 package io.beryldock.configuration;
--- a/src/test/java/io/beryldock/configuration/ConfigurationMeasurement.java
+++ b/src/test/java/io/beryldock/configuration/ConfigurationMeasurement.java
@@ -28,18 +28,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Measures what the configuration costs and how fast it spreads, for docs/DECISIONS/0015-configuration.md; run by name
- * only: {@code mvn -B -o -Dtest=ConfigurationMeasurement test}.
+ * Measures the cost of the configuration and the speed at which changes spread, for
+ * docs/DECISIONS/0015-configuration.md; run by name only: {@code mvn -B -o -Dtest=ConfigurationMeasurement test}.
  */
 class ConfigurationMeasurement {
 
-    /** 12,000 changes a day. */
-    private static final Duration BETWEEN_CHANGES = Duration.ofMillis(7200);
+    /** Interval between changes at 12,000 changes a day. */
+    private static final Duration CHANGE_INTERVAL = Duration.ofMillis(7200);
 
     private static final int CHANGES = 20;
     private static final Duration STEP = Duration.ofMillis(20);
 
-    /** Spread and bytes at 12,000 changes a day, with messages lost and, in some runs, the store away from most. */
+    /**
+     * Measures the time until a change is in force on all nodes, and the traffic, at 12,000 changes a day with lost
+     * messages; in some runs only one data centre reaches the store.
+     */
     @ParameterizedTest
     @CsvSource({
         "3, 10, 0.01, true",
@@ -50,27 +53,27 @@
         "3, 700, 0.1, true",
         "3, 700, 0.1, false"
     })
-    void spread(int dataCentres, int nodesEach, double loss, boolean storeForAll) {
+    void spread(int dataCentres, int nodesEach, double loss, boolean allReachStore) {
         Fleet fleet = Fleet.of(1, dataCentres, nodesEach);
         fleet.loss = loss;
         fleet.store.setFaults(StoreFaults.none().withDelay(Duration.ofMillis(10)));
         fleet.start();
         fleet.advance(Duration.ofSeconds(10));
-        accept(fleet, 0);
+        submitAndAwaitAcceptance(fleet, 0);
         fleet.advance(Duration.ofSeconds(10));
-        if (!storeForAll) {
-            for (int place = 1; place < dataCentres; place++) {
-                fleet.cutFromStore("dc-" + place, true);
+        if (!allReachStore) {
+            for (int dataCentre = 1; dataCentre < dataCentres; dataCentre++) {
+                fleet.cutFromStore("dc-" + dataCentre, true);
             }
         }
         fleet.advance(Duration.ofSeconds(10));
-        Histogram millis = changes(fleet, false);
+        Histogram millis = measureChanges(fleet, false);
         print(
                 "%d data centres of %d, loss %s, store for %s: everywhere p50 %d ms, most %d ms; head %d bytes; %s",
                 dataCentres,
                 nodesEach,
                 loss,
-                storeForAll ? "all" : "one",
+                allReachStore ? "all" : "one",
                 millis.getValueAtPercentile(50),
                 millis.getMaxValue(),
                 headBytes(fleet),
@@ -84,21 +87,21 @@
         return head.join().orElseThrow().value().size();
     }
 
-    /** What a report on each change adds. */
+    /** Measures the additional traffic of a survey after each change. */
     @Test
     void survey() {
         Fleet fleet = Fleet.of(2, 3, 700);
         fleet.store.setFaults(StoreFaults.none().withDelay(Duration.ofMillis(10)));
         fleet.start();
         fleet.advance(Duration.ofSeconds(10));
-        accept(fleet, 0);
+        submitAndAwaitAcceptance(fleet, 0);
         fleet.advance(Duration.ofSeconds(10));
-        assertThat(changes(fleet, true).getTotalCount()).isEqualTo(CHANGES);
+        assertThat(measureChanges(fleet, true).getTotalCount()).isEqualTo(CHANGES);
         print("3 data centres of 700 with a survey after each change; %s", load(fleet));
     }
 
-    /** Makes changes at the pace of the day; the time until each is everywhere. */
-    private static Histogram changes(Fleet fleet, boolean survey) {
+    /** Submits changes at the daily rate; returns the times until each change is in force on all nodes. */
+    private static Histogram measureChanges(Fleet fleet, boolean survey) {
         fleet.nodes.forEach(node -> {
             node.bytesSent = 0;
             node.bytesReceived = 0;
@@ -110,7 +113,7 @@
         Histogram millis = new Histogram(3);
         for (int i = 1; i <= CHANGES; i++) {
             long start = fleet.now();
-            long version = accept(fleet, i);
+            long version = submitAndAwaitAcceptance(fleet, i);
             if (survey) {
                 var unused = fleet.nodes.get(0).sync.awaitInForce(version, Duration.ofSeconds(5));
             }
@@ -118,7 +121,7 @@
                 fleet.advance(STEP);
             }
             millis.recordValue(Duration.ofNanos(fleet.now() - start).toMillis());
-            fleet.advance(BETWEEN_CHANGES.minusNanos(Math.min(fleet.now() - start, BETWEEN_CHANGES.toNanos())));
+            fleet.advance(CHANGE_INTERVAL.minusNanos(Math.min(fleet.now() - start, CHANGE_INTERVAL.toNanos())));
         }
         return millis;
     }
@@ -144,7 +147,7 @@
                 micros);
     }
 
-    private static long accept(Fleet fleet, int number) {
+    private static long submitAndAwaitAcceptance(Fleet fleet, int number) {
         Route route = route("/service-" + number + "/pages/visible", "service-" + number);
         var result =
                 fleet.nodes.get(0).writer.submit(new ConfigurationChange.SetRoute(route), "operator-" + number, -1);
@@ -174,7 +177,7 @@
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    /** The document of 2,400 services: its size, and the time of what is done with it. */
+    /** Measures the size of a document of 2,400 services, and the time to encode, decode, change and search it. */
     @Test
     void document() throws Exception {
         Configuration document = document(2400);
@@ -211,17 +214,17 @@
         print("find among %d routes: %.0f ns", routes, batch * 1e6 / paths);
     }
 
-    /** Ten, so that what else the process does counts little. */
+    /** Returns the heap size of ten documents; with ten, other allocations of the process matter little. */
     private static long tenDocumentsBytes() {
-        List<Configuration> kept = new ArrayList<>();
+        List<Configuration> documents = new ArrayList<>();
         System.gc();
         long before = ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
         for (int i = 0; i < 10; i++) {
-            kept.add(document(2400));
+            documents.add(document(2400));
         }
         System.gc();
         long after = ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
-        assertThat(kept).hasSize(10);
+        assertThat(documents).hasSize(10);
         return after - before;
     }
 
@@ -245,9 +248,9 @@
         return Configuration.of("0123456789abcdef", 1, settings);
     }
 
-    /** The choice of peers over the directory of the whole fleet. */
+    /** Measures the selection of peers from a directory of 22,000 nodes. */
     @Test
-    void choice() throws Exception {
+    void peerSelection() throws Exception {
         Random random = new Random(1);
         List<NodeDescriptor> nodes = new ArrayList<>();
         for (int i = 0; i < 22_000; i++) {
@@ -259,28 +262,28 @@
         }
         Directory directory = Directory.of(nodes, List.of());
         NodeDescriptor watcher = nodes.stream()
-                .filter(node -> PeerChoice.of(node, directory).watcher())
+                .filter(node -> PeerSelection.of(node, directory).watcher())
                 .findFirst()
                 .orElseThrow();
         NodeDescriptor other = nodes.stream()
-                .filter(node -> !PeerChoice.of(node, directory).watcher())
+                .filter(node -> !PeerSelection.of(node, directory).watcher())
                 .findFirst()
                 .orElseThrow();
-        PeerChoice first = PeerChoice.of(watcher, directory);
+        PeerSelection first = PeerSelection.of(watcher, directory);
         print(
                 "choice of peers among 22,000: %.2f ms at a node, %.2f ms at a watcher, there %.2f ms the first time",
-                millis(() -> PeerChoice.of(other, directory)),
+                millis(() -> PeerSelection.of(other, directory)),
                 millis(() -> first.next(directory)),
-                millis(() -> PeerChoice.of(watcher, directory)));
+                millis(() -> PeerSelection.of(watcher, directory)));
     }
 
-    /** What is measured. */
+    /** The code to measure. */
     @FunctionalInterface
     private interface Work {
         Object run() throws Exception;
     }
 
-    /** Mean time of a run, after a warm-up. */
+    /** Returns the mean time of a run in milliseconds, after a warm-up. */
     private static double millis(Work work) throws Exception {
         Duration each = Duration.ofSeconds(1);
         long runs = 0;
--- a/src/test/java/io/beryldock/configuration/ConfigurationRandomisedTest.java
+++ b/src/test/java/io/beryldock/configuration/ConfigurationRandomisedTest.java
@@ -14,15 +14,15 @@
 
     private static final int SCHEDULES = Integer.getInteger("beryldock.configuration.schedules", 150);
     private static final long FIRST_SEED = Long.getLong("beryldock.configuration.seed", 1);
-    private static final int MOST_FOR_A_BROKEN_ONE = 200;
+    private static final int MAX_SCHEDULES_WITH_FAULT = 200;
 
     /**
-     * Operators change settings while messages are lost, doubled and overtaken, data centres and the store are cut off,
-     * answers are lost and nodes are paused and restarted. A user would see a setting that an operator was told is in
-     * force go back to an older value, at one node or at all.
+     * Guards against an accepted change that reverts to an older value, on one node or on all nodes, under random
+     * faults: messages are lost, duplicated and reordered, data centres and the store are cut off, store answers are
+     * lost, and nodes are paused and restarted.
      */
     @Test
-    void noScheduleMakesAnAcceptedChangeRevert() {
+    void acceptedChangeNeverRevertsUnderRandomFaults() {
         int inForceChecks = 0;
         int accepted = 0;
         int unknown = 0;
@@ -44,31 +44,31 @@
         assertThat(inForceChecks).isGreaterThan(SCHEDULES);
     }
 
-    /** The checks above must be able to fail: nodes that take any version. */
+    /** Verifies that the checks detect nodes that accept any version, including lower ones. */
     @Test
-    void nodeThatTakesAnyVersionIsCaught() {
-        assertThat(firstCaught(node -> node.versionRule = (current, next) -> true))
-                .anyMatch(violation -> violation.contains("fall from"));
+    void nodeThatAcceptsAnyVersionIsDetected() {
+        assertThat(firstViolations(node -> node.versionRule = (current, next) -> true))
+                .anyMatch(violation -> violation.contains("must not go back from"));
     }
 
-    /** A writer that takes a lost answer for a refusal. */
+    /** Verifies that the checks detect a writer that treats a lost answer as a write that was not applied. */
     @Test
-    void writerThatTakesLostForNotAppliedIsCaught() {
-        assertThat(firstCaught(node ->
-                        node.storeSeenAs = store -> new StoreThatMistakes(store, lost -> WriteResult.notApplied())))
-                .anyMatch(violation -> violation.contains("and the change is there") || violation.contains("twice"));
+    void writerThatTreatsLostAnswerAsNotAppliedIsDetected() {
+        assertThat(firstViolations(node ->
+                        node.storeWrapper = store -> new MisreportingStore(store, lost -> WriteResult.notApplied())))
+                .anyMatch(violation -> violation.contains("but is in the history") || violation.contains("twice"));
     }
 
-    /** A writer that takes a lost answer for success. */
+    /** Verifies that the checks detect a writer that treats a lost answer as a write that was applied. */
     @Test
-    void writerThatTakesLostForAppliedIsCaught() {
-        assertThat(firstCaught(node ->
-                        node.storeSeenAs = store -> new StoreThatMistakes(store, lost -> WriteResult.applied(1))))
+    void writerThatTreatsLostAnswerAsAppliedIsDetected() {
+        assertThat(firstViolations(node ->
+                        node.storeWrapper = store -> new MisreportingStore(store, lost -> WriteResult.applied(1))))
                 .isNotEmpty();
     }
 
-    private static List<String> firstCaught(Consumer<FleetNode> fault) {
-        for (long seed = 1; seed <= MOST_FOR_A_BROKEN_ONE; seed++) {
+    private static List<String> firstViolations(Consumer<FleetNode> fault) {
+        for (long seed = 1; seed <= MAX_SCHEDULES_WITH_FAULT; seed++) {
             RandomSchedule schedule = new RandomSchedule(seed);
             schedule.fleet.nodes.forEach(fault);
             List<String> violations = schedule.run();
