--- a/src/test/java/io/beryldock/configuration/ConfigurationSyncTest.java
+++ b/src/test/java/io/beryldock/configuration/ConfigurationSyncTest.java
@@ -13,7 +13,7 @@
 
 class ConfigurationSyncTest {
 
-    private static final Duration WITHIN = Duration.ofSeconds(13);
+    private static final Duration SPREAD_LIMIT = Duration.ofSeconds(13);
 
     private static long accept(Fleet fleet, FleetNode node, ConfigurationChange change) {
         var result = node.writer.submit(change, "ann", ConfigurationWriter.VERSION_IN_FORCE);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void acceptedChangeIsEverywhereSoon() {
+    void acceptedChangeIsInForceOnAllNodesWithinTwoSeconds() {
         Fleet fleet = Fleet.of(1, 4, 30);
         fleet.start();
         fleet.advance(Duration.ofSeconds(6));
@@ -39,54 +39,55 @@
     }
 
     /**
-     * An operator drains a target; a node beside it restarts. Its callers see the drained target get work again,
-     * because the new process knows only the defaults of its release.
+     * Guards against a drained target that gets requests again after a restart of a node, because the new process knows
+     * only the defaults of its release.
      */
     @Test
-    void restartedNodeLearnsTheHighestBeforeItServes() {
+    void restartedNodeHasHighestVersionBeforeItServes() {
         Fleet fleet = Fleet.of(2, 2, 5);
         fleet.start();
         fleet.advance(Duration.ofSeconds(6));
         NodeId drained = NodeId.of("dc-0-n1");
         accept(fleet, fleet.nodes.get(0), new ConfigurationChange.Drain(drained));
-        fleet.advance(WITHIN);
+        fleet.advance(SPREAD_LIMIT);
         fleet.store.setFaults(StoreFaults.none().withDown(true));
         FleetNode restarted = fleet.nodes.get(3);
         restarted.kill();
         fleet.advance(Duration.ofSeconds(1));
         restarted.start();
-        fleet.advance(StartWait.LONGEST);
+        fleet.advance(StartWait.MAX_WAIT);
         assertThat(restarted.started.join().confirmed()).isTrue();
-        assertThat(restarted.keeper.current().drained(drained)).isTrue();
-        assertThat(restarted.keeper.changes()).isNotEmpty();
+        assertThat(restarted.activeConfiguration.current().drained(drained)).isTrue();
+        assertThat(restarted.activeConfiguration.changes()).isNotEmpty();
     }
 
     /**
-     * A fleet starts while the store is down: nobody can tell the highest version, and a node that waited for ever
-     * would serve nothing.
+     * Guards against nodes that never serve: if a fleet starts while the store is down, no node can report the highest
+     * version, and a node that waited for it without limit would serve no requests.
      */
     @Test
-    void nodeServesOnDefaultsAndSaysSoWhenNobodyAnswers() {
+    void nodeServesWithUnconfirmedDefaultsWhenStoreDoesNotAnswer() {
         Fleet fleet = Fleet.of(3, 1, 3);
         fleet.store.setFaults(StoreFaults.none().withSilent(true));
         fleet.start();
-        fleet.advance(StartWait.LONGEST);
+        fleet.advance(StartWait.MAX_WAIT);
         assertThat(fleet.nodes.get(0).started.join()).isEqualTo(new StartReport(0, false));
     }
 
     /**
-     * The store lost everything, and answers a node that starts faster than its peers: "there is no configuration". The
-     * node would serve on the defaults while all others have the operators' settings.
+     * Guards against a starting node that serves with the defaults while all other nodes have the operators' settings:
+     * a store that has lost its content reports that there is no configuration before the peers of the starting node
+     * reply.
      */
     @Test
-    void startingNodeBelievesPeersBeforeAnEmptyStore() {
+    void startingNodePrefersPeersToEmptyStore() {
         Fleet fleet = Fleet.of(12, 1, 3);
         fleet.start();
         fleet.advance(Duration.ofSeconds(6));
         long version = accept(fleet, fleet.nodes.get(0), rank(6));
         FleetNode restarted = fleet.nodes.get(2);
         restarted.kill();
-        restarted.storeSeenAs = store -> new StoreThatMistakes(store, lost -> lost) {
+        restarted.storeWrapper = store -> new MisreportingStore(store, lost -> lost) {
             @Override
             public CompletableFuture<Optional<StoredValue>> get(String key) {
                 return CompletableFuture.completedFuture(Optional.empty());
@@ -99,16 +100,16 @@
         };
         fleet.latency = Duration.ofMillis(300);
         restarted.start();
-        fleet.advance(StartWait.LONGEST);
+        fleet.advance(StartWait.MAX_WAIT);
         assertThat(restarted.started.join()).isEqualTo(new StartReport(version, true));
     }
 
     /**
-     * A data centre loses the store and all other data centres but one; a change is accepted elsewhere. Its users would
-     * go on by the old settings for as long as the cut lasts, though a way round is open.
+     * Guards against a data centre that keeps old settings during a partition although an indirect path is open: the
+     * data centre loses the store and all but one other data centre, and a change is accepted elsewhere.
      */
     @Test
-    void dataCentreWithoutStoreLearnsFromItsOnlyNeighbour() {
+    void dataCentreWithoutStoreGetsChangeFromOnlyReachableDataCentre() {
         Fleet fleet = Fleet.of(4, 4, 6);
         fleet.start();
         fleet.advance(Duration.ofSeconds(6));
@@ -116,36 +117,36 @@
         fleet.cut("dc-3", "dc-0", true);
         fleet.cut("dc-3", "dc-1", true);
         long version = accept(fleet, fleet.nodes.get(0), rank(2));
-        fleet.advance(WITHIN);
+        fleet.advance(SPREAD_LIMIT);
         assertThat(fleet.behind(version)).isEmpty();
     }
 
     /**
-     * The store goes down right after a change was accepted in one data centre, before any watcher was told. Users
-     * elsewhere would keep the old setting until the store is back, hours later.
+     * Guards against old settings in other data centres until the store returns, possibly hours later: the store goes
+     * down right after one data centre accepted a change, before any watcher of another data centre saw it.
      */
     @Test
-    void acceptedChangeSpreadsWhileTheStoreIsDown() {
+    void acceptedChangeSpreadsWhileStoreIsDown() {
         Fleet fleet = Fleet.of(5, 5, 6);
         fleet.start();
         fleet.advance(Duration.ofSeconds(6));
         fleet.nodes.stream()
-                .map(FleetNode::place)
+                .map(FleetNode::dataCentre)
                 .distinct()
-                .filter(place -> !place.equals("dc-0"))
-                .forEach(place -> fleet.cutFromStore(place, true));
+                .filter(dataCentre -> !dataCentre.equals("dc-0"))
+                .forEach(dataCentre -> fleet.cutFromStore(dataCentre, true));
         long version = accept(fleet, fleet.nodes.get(0), rank(3));
         fleet.store.setFaults(StoreFaults.none().withDown(true));
-        fleet.advance(WITHIN);
+        fleet.advance(SPREAD_LIMIT);
         assertThat(fleet.behind(version)).isEmpty();
     }
 
     /**
-     * A data centre is cut off while hundreds of changes are made, more than peers keep; then it is back. It must take
-     * the whole document from a peer, once, and go on by changes.
+     * Guards against a data centre that cannot catch up after a partition during which more changes were made than
+     * peers keep. It has to fetch the full document from a peer and then continue with changes.
      */
     @Test
-    void dataCentreFarBehindTakesTheWholeDocument() {
+    void dataCentreFarBehindFetchesFullDocument() {
         Fleet fleet = Fleet.of(6, 2, 4);
         fleet.start();
         fleet.advance(Duration.ofSeconds(6));
@@ -157,13 +158,14 @@
         }
         assertThat(fleet.behind(version)).hasSize(4);
         fleet.cut("dc-0", "dc-1", false);
-        fleet.advance(WITHIN);
+        fleet.advance(SPREAD_LIMIT);
         assertThat(fleet.behind(version)).isEmpty();
         assertThat(fleet.violations).isEmpty();
     }
 
     /**
-     * An operator asks whether a change is in force; one node is stopped and one paused, and the answer must name them.
+     * Guards against a report that hides nodes that do not answer: one node is stopped and one is paused, and the
+     * report has to name both.
      */
     @Test
     void reportNamesNodesThatDoNotAnswer() {
@@ -177,10 +179,10 @@
         fleet.advance(Duration.ofSeconds(3));
         InForceReport inForce = report.join();
         assertThat(inForce.dataCentresInForce()).isEqualTo(2);
-        InForceReport.Line sick = inForce.dataCentres().get(1);
-        assertThat(sick.nodes()).isEqualTo(20);
-        assertThat(sick.holding()).isEqualTo(18);
-        assertThat(sick.behind())
+        InForceReport.Line incomplete = inForce.dataCentres().get(1);
+        assertThat(incomplete.nodes()).isEqualTo(20);
+        assertThat(incomplete.holding()).isEqualTo(18);
+        assertThat(incomplete.behind())
                 .containsExactlyInAnyOrder(
                         fleet.nodes.get(25).self.id(), fleet.nodes.get(26).self.id());
         fleet.nodes.get(26).resume();
@@ -188,7 +190,7 @@
         assertThat(fleet.nodes.get(26).version()).isEqualTo(version);
     }
 
-    /** A message of another program or a broken peer reaches the topic; the node must go on. */
+    /** Guards against a node that fails because of an unreadable message, sent by another program or a faulty peer. */
     @Test
     void unreadableMessageIsDropped() {
         Fleet fleet = Fleet.of(8, 1, 2);
@@ -200,14 +202,15 @@
     }
 
     /**
-     * Something between a lone node and the store loses track of its watch: no answer, no error, while new calls work.
-     * Its operators would see it keep an old setting for good.
+     * Guards against a node that keeps an old setting permanently: a middlebox between an isolated node and the store
+     * loses the state of the connection of the watch, so that the watch gets neither an answer nor an error while new
+     * calls work.
      */
     @Test
-    void silentWatchIsFollowedByRead() {
+    void changeIsReadWhenWatchNeverReturns() {
         Fleet fleet = Fleet.of(9, 2, 1);
-        FleetNode lone = fleet.nodes.get(1);
-        lone.storeSeenAs = store -> new StoreThatMistakes(store, lost -> lost) {
+        FleetNode isolated = fleet.nodes.get(1);
+        isolated.storeWrapper = store -> new MisreportingStore(store, lost -> lost) {
             @Override
             public CompletableFuture<Optional<StoredValue>> watch(String key, long afterVersion, Duration wait) {
                 return new CompletableFuture<>();
@@ -217,12 +220,12 @@
         fleet.cut("dc-0", "dc-1", true);
         fleet.advance(Duration.ofSeconds(6));
         long version = accept(fleet, fleet.nodes.get(0), rank(5));
-        fleet.advance(WITHIN);
+        fleet.advance(SPREAD_LIMIT);
         assertThat(fleet.behind(version)).isEmpty();
     }
 
     @Test
-    void historyNamesWhoAndWhenBeyondMemory() {
+    void historyReadsChangesBeyondMemoryFromStore() {
         Fleet fleet = Fleet.of(10, 1, 2);
         fleet.start();
         fleet.advance(Duration.ofSeconds(6));
@@ -230,14 +233,15 @@
             accept(fleet, fleet.nodes.get(0), rank(i));
         }
         FleetNode node = fleet.nodes.get(1);
-        var history = ConfigurationHistory.create(fleet.store, fleet.timers, node.keeper);
+        var history = ConfigurationHistory.create(fleet.store, fleet.timers, node.activeConfiguration);
         assertThat(history.last(3).join()).extracting(ChangeRecord::version).containsExactly(274L, 275L, 276L);
-        ChangeRecord first = history.last(ConfigurationHistory.MOST).join().get(0);
+        ChangeRecord first =
+                history.last(ConfigurationHistory.MAX_CHANGES).join().get(0);
         assertThat(first.version()).isEqualTo(1);
         assertThat(first.operator()).isEqualTo("ann");
         assertThat(first.statement()).isEqualTo("set class c0 priority 0");
         assertThat(history.find(first.changeId()).join()).contains(first);
         fleet.store.setFaults(StoreFaults.none().withDown(true));
-        assertThat(history.last(ConfigurationHistory.MOST).join()).hasSize(ChangeLog.MAX_RECORDS);
+        assertThat(history.last(ConfigurationHistory.MAX_CHANGES).join()).hasSize(ChangeLog.MAX_RECORDS);
     }
 }
--- a/src/test/java/io/beryldock/configuration/ConfigurationTest.java
+++ b/src/test/java/io/beryldock/configuration/ConfigurationTest.java
@@ -45,7 +45,7 @@
         "POST, /x/../orders, writes",
         "POST, /./orders/.., root",
     })
-    void longestPrefixThenNamedMethodWins(String method, String path, String service) {
+    void routeWithLongestPrefixThenNamedMethodIsFound(String method, String path, String service) {
         Configuration configuration = Configuration.of(
                 "x",
                 1,
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void defaultsKeepOrdersAndStartsToTheLast() throws ConfigurationException {
+    void defaultsShedOrdersAndStartsLast() throws ConfigurationException {
         Configuration lists = Configuration.defaults("vandermeulen");
         Route order = lists.find("POST", "/orders").orElseThrow();
         assertThat(order.idempotent()).isFalse();
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void jsonAndBytesReadBack() throws ConfigurationException, IOException {
+    void configurationIsUnchangedAfterJsonAndBinaryRoundTrip() throws ConfigurationException, IOException {
         List<Setting> settings = new ArrayList<>(
                 Configuration.defaults("vandermeulen").settings().values());
         settings.add(new DrainSetting(NodeId.of("gent-a-1")));
@@ -92,8 +92,8 @@
     }
 
     /**
-     * During an upgrade a newer node writes a kind of setting that an older one does not know. The older one drops it
-     * and hands the document on: an accepted setting is gone, at some nodes for good.
+     * Guards against the permanent loss of an accepted setting during an upgrade: a newer node writes a kind of setting
+     * that an older node does not know, and the older node drops the setting and sends the document on.
      */
     @Test
     void settingOfLaterReleaseIsKept() {
--- a/src/test/java/io/beryldock/configuration/ConfigurationWriterTest.java
+++ b/src/test/java/io/beryldock/configuration/ConfigurationWriterTest.java
@@ -13,7 +13,7 @@
 
 class ConfigurationWriterTest {
 
-    private static final Duration LONG = Duration.ofSeconds(Submission.MOST_SECONDS);
+    private static final Duration SUBMISSION_LIMIT = Duration.ofSeconds(Submission.MAX_SECONDS);
 
     private final Fleet fleet = Fleet.of(11, 2, 1);
     private final FleetNode first = fleet.nodes.get(0);
@@ -29,7 +29,7 @@
     }
 
     private ChangeResult result(CompletableFuture<ChangeResult> submitted) {
-        fleet.advance(LONG);
+        fleet.advance(SUBMISSION_LIMIT);
         return submitted.join();
     }
 
@@ -38,11 +38,11 @@
     }
 
     /**
-     * Two operators set one class at the same moment, at different nodes. If both were accepted, the first would
-     * believe in a value that is gone.
+     * Guards against two accepted writes to one setting: two operators set one class at the same time on different
+     * nodes, and the first operator would rely on a value that has been overwritten.
      */
     @Test
-    void laterOfTwoOnOneSettingGetsTheFirstValueAndTheRemedy() {
+    void laterOfTwoChangesOfOneSettingConflictsWithFirstValueAndRemedy() {
         fleet.store.setFaults(StoreFaults.none().withDelay(Duration.ofMillis(10)));
         var ann = submit(first, "ann", new SetClass("page", 1));
         var bob = submit(second, "bob", new SetClass("page", 5));
@@ -57,20 +57,24 @@
     }
 
     @Test
-    void changesOfDifferentSettingsBothLand() {
+    void concurrentChangesOfDifferentFieldsAreBothAccepted() {
         fleet.store.setFaults(StoreFaults.none().withDelay(Duration.ofMillis(10)));
         ImmutableSet<String> writes = ImmutableSet.of("POST", "PUT", "PATCH", "DELETE");
         var ann = submit(first, "ann", new ConfigurationChange.MarkRoute("/orders", writes, false));
         var bob = submit(second, "bob", new ConfigurationChange.SetDeadline("/orders", writes, Duration.ofSeconds(7)));
         assertThat(result(ann)).isInstanceOf(ChangeResult.Accepted.class);
         assertThat(bob.join()).isInstanceOf(ChangeResult.Accepted.class);
-        Route orders = first.keeper.current().find("POST", "/orders").orElseThrow();
+        Route orders =
+                first.activeConfiguration.current().find("POST", "/orders").orElseThrow();
         assertThat(orders.deadline()).isEqualTo(Duration.ofSeconds(7));
     }
 
-    /** An operator at a node that has not heard of the last change looks at the old value and sets it. */
+    /**
+     * Guards against overwriting a newer value: an operator on a node that lacks the last change sees the old value and
+     * sets a new one.
+     */
     @Test
-    void olderViewOfTheSameSettingConflicts() {
+    void changeBasedOnOutdatedVersionOfSettingConflicts() {
         long seen = version(result(submit(first, "ann", new SetClass("page", 1))));
         result(submit(first, "ann", new SetClass("page", 2)));
         var bob = second.writer.submit(new SetClass("page", 5), "bob", seen);
@@ -80,23 +84,26 @@
     }
 
     /**
-     * The store applies the change and its answer is lost. Told "not accepted", the operator would do it again, or
-     * believe in the old value while the new one is in force.
+     * Guards against a wrong result after a lost answer: the store applies the change, but its answer does not arrive.
+     * With the result "not accepted", the operator would repeat the change or rely on the old value.
      */
     @Test
-    void lostAnswerIsSettledByReadingBack() {
+    void writeWithLostAnswerIsAcceptedAfterReadingBack() {
         result(submit(first, "ann", new SetClass("page", 1)));
         fleet.store.setFaults(StoreFaults.none().withDelay(Duration.ofMillis(10)));
         var ann = submit(first, "ann", new SetClass("page", 2));
         fleet.advance(Duration.ofMillis(14));
         fleet.store.setFaults(fleet.store.faults().withLoseNext(1));
         assertThat(result(ann)).isInstanceOf(ChangeResult.Accepted.class);
-        assertThat(first.keeper.changes()).hasSize(2);
+        assertThat(first.activeConfiguration.changes()).hasSize(2);
     }
 
-    /** The same, but another operator's change on top of it hides it from a look at the head's version alone. */
+    /**
+     * Guards against the same fault when another operator's later change hides the change from a check of the head's
+     * version alone.
+     */
     @Test
-    void lostAnswerIsSettledBeneathLaterChanges() {
+    void writeWithLostAnswerIsAcceptedBeneathLaterChanges() {
         result(submit(first, "ann", new SetClass("page", 1)));
         fleet.store.setFaults(StoreFaults.none().withDelay(Duration.ofMillis(10)));
         var ann = submit(first, "ann", new SetClass("page", 2));
@@ -110,9 +117,12 @@
         assertThat(version(result(ann))).isEqualTo(2);
     }
 
-    /** The store goes silent in mid-write: the change may land later, so neither yes nor no is true. */
+    /**
+     * Guards against a definite result for an undetermined write: the store stops answering during the write, so the
+     * change may still take effect later.
+     */
     @Test
-    void silentStoreGivesUnknownWithTheId() {
+    void unknownWithChangeIdWhenStoreStopsAnswering() {
         result(submit(first, "ann", new SetClass("page", 1)));
         fleet.store.setFaults(StoreFaults.none().withDelay(Duration.ofMillis(10)));
         var ann = submit(first, "ann", new SetClass("page", 2));
@@ -124,13 +134,13 @@
     }
 
     /**
-     * The store's client sends a write again when its connection breaks: the second sending is in conflict with the
-     * first. The operator would be told of a conflict with his own change.
+     * Guards against a change that conflicts with itself: the client of the store repeats a write when its connection
+     * breaks, and the second write conflicts with the first.
      */
     @Test
-    void writeSentTwiceIsAccepted() {
+    void changeIsAcceptedWhenWriteIsSentTwice() {
         first.kill();
-        first.storeSeenAs = store -> new StoreThatMistakes(store, lost -> lost) {
+        first.storeWrapper = store -> new MisreportingStore(store, lost -> lost) {
             @Override
             public CompletableFuture<WriteResult> compareAndSet(String key, long expectedVersion, ByteString value) {
                 return super.compareAndSet(key, expectedVersion, value)
@@ -147,7 +157,7 @@
     }
 
     @Test
-    void storeDownIsNotAccepted() {
+    void changeIsNotAcceptedWhileStoreIsDown() {
         fleet.store.setFaults(StoreFaults.none().withDown(true));
         assertThat(result(submit(first, "ann", new SetClass("page", 1)))).isInstanceOf(ChangeResult.NotAccepted.class);
         assertThat(first.version()).isZero();
@@ -162,9 +172,12 @@
         assertThat(first.version()).isZero();
     }
 
-    /** Thousands of changes must neither fill the head nor the store, and a node that starts must find them all. */
+    /**
+     * Guards against a head and a store that grow with the number of changes, and against starting nodes that cannot
+     * read all changes.
+     */
     @Test
-    void headStaysSmallAndAStartingNodeReadsItAll() {
+    void headStaysSmallAndStartingNodeReadsAllChanges() {
         int count = 3 * StoreKeys.SNAPSHOT_SPACING + 5;
         for (int i = 0; i < count; i++) {
             var result = submit(first, "ann", new SetClass("c" + i % 300, i % 8));
@@ -177,16 +190,16 @@
         assertThat(head.version() - head.snapshot().version())
                 .isLessThan(StoreKeys.SNAPSHOT_SPACING + 2 * StoreKeys.BLOCK);
         Configuration fresh = reader.load(head, FleetNode.defaults()).join().configuration();
-        assertThat(fresh).isEqualTo(first.keeper.current());
+        assertThat(fresh).isEqualTo(first.activeConfiguration.current());
         assertThat(reader.changes(head, 0).join()).hasSize(count);
     }
 
     /**
-     * The store is set back to an old copy. New changes would get versions that all nodes hold already: accepted, and
-     * in force nowhere.
+     * Guards against changes that are accepted but in force on no node: the store is reset to an old copy, and new
+     * changes would get versions that all nodes already hold.
      */
     @Test
-    void storeThatLostChangesIsNoticedAndRestored() {
+    void lossOfChangesInStoreIsDetectedAndRestored() {
         result(submit(first, "ann", new SetClass("page", 1)));
         var old = fleet.store.get(StoreKeys.HEAD).join().orElseThrow();
         result(submit(first, "ann", new SetClass("page", 2)));
@@ -195,11 +208,11 @@
         assertThat(result(submit(first, "ann", new SetClass("search", 5))))
                 .isInstanceOfSatisfying(
                         ChangeResult.NotAccepted.class,
-                        told -> assertThat(told.remedy()).contains("restore"));
+                        notAccepted -> assertThat(notAccepted.remedy()).contains("restore"));
         long restored = version(result(first.writer.restore("ann")));
         assertThat(second.version()).isEqualTo(restored);
         assertThat(result(submit(second, "bob", new SetClass("search", 5)))).isInstanceOf(ChangeResult.Accepted.class);
-        assertThat(first.keeper.current().toJson()).contains("\"priority\" : 2");
+        assertThat(first.activeConfiguration.current().toJson()).contains("\"priority\" : 2");
         assertThat(result(first.writer.restore("ann"))).isInstanceOf(ChangeResult.Rejected.class);
         assertThat(fleet.violations).isEmpty();
     }
--- a/src/test/java/io/beryldock/configuration/DocumentSyncTest.java
+++ b/src/test/java/io/beryldock/configuration/DocumentSyncTest.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Three nodes that follow the operators' document in the store and tell each other; the document is its version. */
+/**
+ * Tests three nodes that follow the operators' document in the store and share it with each other. The content of a
+ * test document is its version number.
+ */
 final class DocumentSyncTest {
 
     private static final String KEY = "op/document";
@@ -21,7 +24,7 @@
     private final ManualTimerService timers = ManualTimerService.create();
     private final FakeRegistry registry = new FakeRegistry(timers);
     private final SharingFleet fleet = new SharingFleet(registry, timers);
-    private final List<ConfigurationKeeper> keepers = new ArrayList<>();
+    private final List<ConfigurationKeeper> configurations = new ArrayList<>();
 
     DocumentSyncTest() throws ConfigurationException {
         for (int i = 0; i < NODES; i++) {
@@ -30,10 +33,10 @@
     }
 
     private void addNode(int number) throws ConfigurationException {
-        ConfigurationKeeper keeper = ConfigurationKeeper.create(Configuration.defaults("none"));
-        keepers.add(keeper);
+        ConfigurationKeeper activeConfiguration = ConfigurationKeeper.create(Configuration.defaults("none"));
+        configurations.add(activeConfiguration);
         StoreSharing sharing = fleet.add("n" + number, "gent-a");
-        DocumentSync.create(keeper, sharing, KEY, DocumentSyncTest::decode, number % 2 == 0)
+        DocumentSync.create(activeConfiguration, sharing, KEY, DocumentSyncTest::decode, number % 2 == 0)
                 .start();
     }
 
@@ -50,22 +53,24 @@
     }
 
     private List<Long> versions() {
-        return keepers.stream().map(keeper -> keeper.current().version()).toList();
+        return configurations.stream()
+                .map(activeConfiguration -> activeConfiguration.current().version())
+                .toList();
     }
 
     @Test
-    void documentIsInForceEverywhereWithinASecond() {
+    void documentIsInForceOnAllNodesWithinOneSecond() {
         write("7");
         timers.advance(Duration.ofSeconds(1));
         assertThat(versions()).containsOnly(7L);
     }
 
     /**
-     * Story: a route that operators removed is still served by some nodes. The store turned these nodes away, and they
-     * heard of the change from nobody.
+     * Guards against a removed route that some nodes still serve: these nodes cannot reach the store and get no update
+     * from their peers.
      */
     @Test
-    void nodesThatTheStoreTurnsAwayHearFromPeers() {
+    void nodesWithoutStoreGetDocumentFromPeers() {
         timers.advance(Duration.ofSeconds(1));
         fleet.view("n1").setDown(true);
         fleet.view("n2").setDown(true);
@@ -74,9 +79,12 @@
         assertThat(versions()).containsOnly(8L);
     }
 
-    /** Story: a change that was in force is gone again for a moment: a node took an older document from a peer. */
+    /**
+     * Guards against a change that is temporarily reverted, because a node accepts an older document from a peer or
+     * from the store.
+     */
     @Test
-    void olderDocumentNeverReplacesANewerOne() {
+    void olderDocumentNeverReplacesNewerOne() {
         write("9");
         timers.advance(Duration.ofSeconds(1));
         write("4");
@@ -84,9 +92,12 @@
         assertThat(versions()).containsOnly(9L);
     }
 
-    /** Guards against changes that are taken for old ones since the store gave their revisions out before. */
+    /**
+     * Guards against new changes that are ignored as outdated, because the store was restored from an older copy and
+     * assigns revisions that it assigned before.
+     */
     @Test
-    void changeIsInForceAfterTheStoreCameBackFromAnOlderCopy() {
+    void newChangeIsInForceAfterStoreWasRestoredFromOlderCopy() {
         write("7");
         timers.advance(Duration.ofSeconds(1));
         FakeRegistry.Copy copy = registry.copy();
@@ -101,9 +112,9 @@
         assertThat(versions()).containsOnly(10L);
     }
 
-    /** Guards against a node that starts with an older document, as the store was set back to it. */
+    /** Guards against a node that starts with an older document, because the store was reset to it. */
     @Test
-    void nodeThatStartsGoesByTheDocumentThatTheStoreLost() throws ConfigurationException {
+    void startingNodeUsesDocumentThatStoreLost() throws ConfigurationException {
         write("7");
         timers.advance(Duration.ofSeconds(1));
         FakeRegistry.Copy copy = registry.copy();
@@ -119,9 +130,9 @@
         assertThat(versions()).containsOnly(9L);
     }
 
-    /** The same when the store lost the only document there was. */
+    /** Guards against a node that starts without a document, because the store lost the only version. */
     @Test
-    void nodeThatStartsGoesByTheOnlyDocumentThatTheStoreLost() throws ConfigurationException {
+    void startingNodeUsesOnlyDocumentThatStoreLost() throws ConfigurationException {
         FakeRegistry.Copy empty = registry.copy();
         write("8");
         timers.advance(Duration.ofSeconds(4));
@@ -133,7 +144,7 @@
     }
 
     @Test
-    void documentThatCantBeReadIsPassedOver() {
+    void unreadableDocumentIsIgnored() {
         write("5");
         write("rubbish");
         timers.advance(Duration.ofSeconds(1));
--- a/src/test/java/io/beryldock/configuration/Fleet.java
+++ b/src/test/java/io/beryldock/configuration/Fleet.java
@@ -22,10 +22,10 @@
 import java.util.Set;
 import java.util.concurrent.Executor;
 
-/** Nodes of several data centres on one injected clock, with a network and a store whose faults are switched. */
+/** Simulates nodes of several data centres with one manual clock, and a network and a store with injectable faults. */
 final class Fleet {
 
-    /** Headers of TCP, IP and the frame around a message, and a TLS record. */
+    /** Bytes per message for the headers of TCP, IP, the frame and a TLS record. */
     static final int MESSAGE_OVERHEAD = 90;
 
     private static final Duration DETECTION = Duration.ofSeconds(4);
@@ -35,12 +35,12 @@
     final InMemoryPlatformStore store;
     final List<FleetNode> nodes = new ArrayList<>();
     final List<String> violations = new ArrayList<>();
-    final Map<Long, String> changeAt = new HashMap<>();
+    final Map<Long, String> documentByVersion = new HashMap<>();
     Directory directory = Directory.empty();
     double loss;
     double duplication;
     Duration latency = Duration.ofMillis(2);
-    Duration latencyElsewhere = Duration.ofMillis(60);
+    Duration remoteLatency = Duration.ofMillis(60);
     long lastNetworkChange;
     StoreCallCounts countsBefore;
     long measuredFrom;
@@ -56,38 +56,38 @@
 
     static Fleet of(long seed, int dataCentres, int nodesEach) {
         Fleet fleet = new Fleet(seed);
-        for (int place = 0; place < dataCentres; place++) {
+        for (int dataCentre = 0; dataCentre < dataCentres; dataCentre++) {
             for (int i = 0; i < nodesEach; i++) {
-                fleet.nodes.add(new FleetNode(fleet, fleet.descriptor("dc-" + place, fleet.nodes.size())));
+                fleet.nodes.add(new FleetNode(fleet, fleet.descriptor("dc-" + dataCentre, fleet.nodes.size())));
             }
         }
         fleet.renewDirectory();
         return fleet;
     }
 
-    NodeDescriptor descriptor(String place, int number) {
+    NodeDescriptor descriptor(String dataCentre, int number) {
         return new NodeDescriptor(
-                NodeId.of(place + "-n" + number),
+                NodeId.of(dataCentre + "-n" + number),
                 Incarnation.random(random),
-                DataCentre.of(place),
+                DataCentre.of(dataCentre),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 1000 + number));
     }
 
     void renewDirectory() {
         directory = Directory.of(
                 nodes.stream()
-                        .filter(node -> node.listed)
+                        .filter(node -> node.inDirectory)
                         .map(node -> node.self)
                         .toList(),
                 List.of());
     }
 
-    /** Lets the directory follow what became of a node, some seconds later, as a failure detector would. */
-    void detect(FleetNode node) {
+    /** Updates the directory with the state of a node after some seconds, as a failure detector would. */
+    void updateDirectoryLater(FleetNode node) {
         timers.after(DETECTION, () -> {
             boolean alive = !node.stopped && !node.paused;
-            if (node.listed != alive) {
-                node.listed = alive;
+            if (node.inDirectory != alive) {
+                node.inDirectory = alive;
                 renewDirectory();
             }
         });
@@ -105,8 +105,6 @@
         return timers.ticker().nanos();
     }
 
-    // Network
-
     void send(FleetNode from, InetSocketAddress to, ByteString message) {
         int index = to.getPort() - 1000;
         if (index < 0 || index >= nodes.size() || from.stopped) {
@@ -115,7 +113,7 @@
         FleetNode target = nodes.get(index);
         from.bytesSent += message.size() + MESSAGE_OVERHEAD;
         from.messagesSent++;
-        if (random.nextDouble() < loss || !connected(from.place(), target.place())) {
+        if (random.nextDouble() < loss || !connected(from.dataCentre(), target.dataCentre())) {
             return;
         }
         deliver(from, target, message);
@@ -125,7 +123,7 @@
     }
 
     private void deliver(FleetNode from, FleetNode target, ByteString message) {
-        Duration base = from.place().equals(target.place()) ? latency : latencyElsewhere;
+        Duration base = from.dataCentre().equals(target.dataCentre()) ? latency : remoteLatency;
         long nanos = base.toNanos() / 2 + (long) (random.nextDouble() * base.toNanos());
         int incarnation = target.starts;
         timers.after(Duration.ofNanos(nanos), () -> {
@@ -138,25 +136,25 @@
         return a.equals(b) || !cut.contains(pair(a, b));
     }
 
-    boolean reachesStore(String place) {
-        return !cutFromStore.contains(place);
+    boolean reachesStore(String dataCentre) {
+        return !cutFromStore.contains(dataCentre);
     }
 
-    void cut(String a, String b, boolean apart) {
+    void cut(String a, String b, boolean separated) {
         lastNetworkChange = now();
-        if (apart) {
+        if (separated) {
             cut.add(pair(a, b));
         } else {
             cut.remove(pair(a, b));
         }
     }
 
-    void cutFromStore(String place, boolean apart) {
+    void cutFromStore(String dataCentre, boolean separated) {
         lastNetworkChange = now();
-        if (apart) {
-            cutFromStore.add(place);
+        if (separated) {
+            cutFromStore.add(dataCentre);
         } else {
-            cutFromStore.remove(place);
+            cutFromStore.remove(dataCentre);
         }
     }
 
@@ -171,31 +169,32 @@
         return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
     }
 
-    /** Data centres that hear of a change made in one of them by way of others with a node that was up since then. */
-    Set<String> reachableFrom(String place, long since) {
+    /**
+     * Returns the data centres that a change made in one data centre can reach, directly or through data centres with a
+     * node that has been running since the given time.
+     */
+    Set<String> reachableFrom(String dataCentre, long since) {
         Set<String> all = new HashSet<>();
-        nodes.stream().filter(node -> node.steadySince < since).forEach(node -> all.add(node.place()));
-        Set<String> reached = new HashSet<>(Set.of(place));
-        boolean grown = true;
-        while (grown) {
+        nodes.stream().filter(node -> node.runningSince < since).forEach(node -> all.add(node.dataCentre()));
+        Set<String> reached = new HashSet<>(Set.of(dataCentre));
+        boolean extended = true;
+        while (extended) {
             List<String> next = all.stream()
                     .filter(other -> !reached.contains(other))
                     .filter(other -> reached.stream().anyMatch(known -> connected(known, other)))
                     .toList();
-            grown = reached.addAll(next);
+            extended = reached.addAll(next);
         }
         return reached;
     }
 
-    // Checks
-
-    void note(FleetNode node, Configuration next) {
-        if (next.version() <= node.highest) {
-            violations.add(node.self.id() + " fell from " + node.highest + " to " + next.version());
+    void checkVersion(FleetNode node, Configuration next) {
+        if (next.version() <= node.highestVersion) {
+            violations.add(node.self.id() + " went back from " + node.highestVersion + " to " + next.version());
         }
-        node.highest = next.version();
+        node.highestVersion = next.version();
         String text = next.toJson();
-        String known = changeAt.putIfAbsent(next.version(), text);
+        String known = documentByVersion.putIfAbsent(next.version(), text);
         if (known != null && !known.equals(text)) {
             violations.add("version " + next.version() + " differs at " + node.self.id());
         }
@@ -203,13 +202,15 @@
 
     ImmutableList<String> behind(long version) {
         return nodes.stream()
-                .filter(node -> !node.stopped && node.keeper.current().version() < version)
-                .map(node -> node.self.id() + "@" + node.keeper.current().version())
+                .filter(node ->
+                        !node.stopped && node.activeConfiguration.current().version() < version)
+                .map(node -> node.self.id() + "@"
+                        + node.activeConfiguration.current().version())
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Runs a task and notes what it throws. */
-    Executor guarded() {
+    /** Returns an executor that runs tasks and records their exceptions as violations. */
+    Executor recordingFailures() {
         return task -> {
             try {
                 task.run();
--- a/src/test/java/io/beryldock/configuration/FleetNode.java
+++ b/src/test/java/io/beryldock/configuration/FleetNode.java
@@ -19,24 +19,24 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.UnaryOperator;
 
-/** One node of a {@link Fleet}: it can be paused, stopped and started again. */
+/** A node of a {@link Fleet} that can be paused, stopped and started again. */
 final class FleetNode {
 
     private final Fleet fleet;
-    private final List<Runnable> held = new ArrayList<>();
+    private final List<Runnable> deferred = new ArrayList<>();
     NodeDescriptor self;
-    ConfigurationKeeper keeper;
+    ConfigurationKeeper activeConfiguration;
     ConfigurationSync sync;
     ConfigurationWriter writer;
     CompletableFuture<StartReport> started;
-    UnaryOperator<PlatformStore> storeSeenAs = UnaryOperator.identity();
+    UnaryOperator<PlatformStore> storeWrapper = UnaryOperator.identity();
     ConfigurationKeeper.VersionRule versionRule = ConfigurationKeeper.HIGHER_ONLY;
     boolean stopped = true;
     boolean paused;
-    boolean listed = true;
+    boolean inDirectory = true;
     int starts;
-    long steadySince;
-    long highest;
+    long runningSince;
+    long highestVersion;
     long bytesSent;
     long bytesReceived;
     long messagesSent;
@@ -46,7 +46,7 @@
         this.self = self;
     }
 
-    String place() {
+    String dataCentre() {
         return self.dataCentre().value();
     }
 
@@ -54,18 +54,18 @@
         starts++;
         stopped = false;
         paused = false;
-        held.clear();
-        steadySince = fleet.now();
-        highest = 0;
+        deferred.clear();
+        runningSince = fleet.now();
+        highestVersion = 0;
         int incarnation = starts;
         NodeTimers timers = new NodeTimers(incarnation);
         Random random = new Random(fleet.random.nextLong());
-        PlatformStore store = storeSeenAs.apply(new ReachedStore());
-        keeper = ConfigurationKeeper.create(defaults(), EventSink.none(), versionRule);
-        keeper.onChange(next -> fleet.note(this, next));
+        PlatformStore store = storeWrapper.apply(new ReachableStore());
+        activeConfiguration = ConfigurationKeeper.create(defaults(), EventSink.none(), versionRule);
+        activeConfiguration.onChange(next -> fleet.checkVersion(this, next));
         sync = ConfigurationSync.create(
                 self,
-                keeper,
+                activeConfiguration,
                 new ConfigurationSync.Ports(
                         store,
                         (to, message) -> fleet.send(this, to, message),
@@ -77,7 +77,7 @@
                         EventSink.none()));
         writer = ConfigurationWriter.create(
                 store,
-                keeper,
+                activeConfiguration,
                 new ConfigurationWriter.Ports(
                         task -> onControl(incarnation, task),
                         timers,
@@ -85,7 +85,7 @@
                         random,
                         EventSink.none()));
         started = sync.start();
-        fleet.detect(this);
+        fleet.updateDirectoryLater(this);
     }
 
     static Configuration defaults() {
@@ -96,12 +96,12 @@
         }
     }
 
-    /** Ends the process without a word. */
+    /** Stops the process without notifying other nodes. */
     void kill() {
         stopped = true;
         paused = false;
-        steadySince = Long.MAX_VALUE;
-        fleet.detect(this);
+        runningSince = Long.MAX_VALUE;
+        fleet.updateDirectoryLater(this);
     }
 
     void pause() {
@@ -109,8 +109,8 @@
             return;
         }
         paused = true;
-        steadySince = Long.MAX_VALUE;
-        fleet.detect(this);
+        runningSince = Long.MAX_VALUE;
+        fleet.updateDirectoryLater(this);
     }
 
     void resume() {
@@ -118,11 +118,11 @@
             return;
         }
         paused = false;
-        steadySince = fleet.now();
-        fleet.detect(this);
-        List<Runnable> tasks = new ArrayList<>(held);
-        held.clear();
-        tasks.forEach(fleet.guarded()::execute);
+        runningSince = fleet.now();
+        fleet.updateDirectoryLater(this);
+        List<Runnable> tasks = new ArrayList<>(deferred);
+        deferred.clear();
+        tasks.forEach(fleet.recordingFailures()::execute);
     }
 
     void onControl(int incarnation, Runnable task) {
@@ -130,17 +130,17 @@
             return;
         }
         if (paused) {
-            held.add(() -> onControl(incarnation, task));
+            deferred.add(() -> onControl(incarnation, task));
         } else {
-            fleet.guarded().execute(task);
+            fleet.recordingFailures().execute(task);
         }
     }
 
     long version() {
-        return keeper.current().version();
+        return activeConfiguration.current().version();
     }
 
-    /** The fleet's clock; tasks that fall due while the node is paused run when it goes on. */
+    /** Timers on the clock of the fleet; tasks that become due while the node is paused run when it resumes. */
     private final class NodeTimers implements TimerService {
         private final int incarnation;
 
@@ -164,22 +164,25 @@
         }
     }
 
-    /** The store as far as the data centre reaches it: a cut hits calls and the answers under way. */
-    private final class ReachedStore implements PlatformStore {
+    /**
+     * The store as the data centre of the node can reach it: a partition fails new calls and drops the answers of calls
+     * under way.
+     */
+    private final class ReachableStore implements PlatformStore {
 
         @Override
         public CompletableFuture<Optional<StoredValue>> get(String key) {
-            return reaches() ? answered(fleet.store.get(key)) : CompletableFuture.failedFuture(unreachable());
+            return isReachable() ? ifReachable(fleet.store.get(key)) : CompletableFuture.failedFuture(unreachable());
         }
 
         @Override
         public CompletableFuture<WriteResult> compareAndSet(String key, long expectedVersion, ByteString value) {
-            if (!reaches()) {
+            if (!isReachable()) {
                 return CompletableFuture.completedFuture(WriteResult.notApplied());
             }
             return fleet.store
                     .compareAndSet(key, expectedVersion, value)
-                    .thenApply(result -> reaches() ? result : WriteResult.unknown());
+                    .thenApply(result -> isReachable() ? result : WriteResult.unknown());
         }
 
         @Override
@@ -189,17 +192,17 @@
 
         @Override
         public CompletableFuture<Optional<StoredValue>> watch(String key, long afterVersion, Duration wait) {
-            return reaches()
-                    ? answered(fleet.store.watch(key, afterVersion, wait))
+            return isReachable()
+                    ? ifReachable(fleet.store.watch(key, afterVersion, wait))
                     : CompletableFuture.failedFuture(unreachable());
         }
 
-        private boolean reaches() {
-            return fleet.reachesStore(place());
+        private boolean isReachable() {
+            return fleet.reachesStore(dataCentre());
         }
 
-        private <T> CompletableFuture<T> answered(CompletableFuture<T> call) {
-            return call.thenCompose(value -> reaches()
+        private <T> CompletableFuture<T> ifReachable(CompletableFuture<T> call) {
+            return call.thenCompose(value -> isReachable()
                     ? CompletableFuture.completedFuture(value)
                     : CompletableFuture.failedFuture(unreachable()));
         }
--- a/src/test/java/io/beryldock/configuration/MisreportingStore.java
+++ b/src/test/java/io/beryldock/configuration/MisreportingStore.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.UnaryOperator;
 
-/** A store whose lost answers are taken for something else. */
-class StoreThatMistakes implements PlatformStore {
+/** A store that reports lost answers as another result. */
+class MisreportingStore implements PlatformStore {
 
     private final PlatformStore store;
-    private final UnaryOperator<WriteResult> lostAs;
+    private final UnaryOperator<WriteResult> reportedResult;
 
-    StoreThatMistakes(PlatformStore store, UnaryOperator<WriteResult> lostAs) {
+    MisreportingStore(PlatformStore store, UnaryOperator<WriteResult> reportedResult) {
         this.store = store;
-        this.lostAs = lostAs;
+        this.reportedResult = reportedResult;
     }
 
     @Override
@@ -28,7 +28,7 @@
     @Override
     public CompletableFuture<WriteResult> compareAndSet(String key, long expectedVersion, ByteString value) {
         return store.compareAndSet(key, expectedVersion, value)
-                .thenApply(result -> result.kind() == WriteResult.Kind.UNKNOWN ? lostAs.apply(result) : result);
+                .thenApply(result -> result.kind() == WriteResult.Kind.UNKNOWN ? reportedResult.apply(result) : result);
     }
 
     @Override
--- a/src/test/java/io/beryldock/configuration/RandomSchedule.java
+++ b/src/test/java/io/beryldock/configuration/RandomSchedule.java
@@ -12,12 +12,14 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** One seeded run of operators' changes under faults of network, store and nodes, and the checks of its outcome. */
+/**
+ * A seeded run of operators' changes under faults of the network, the store and the nodes, with checks of the outcome.
+ */
 final class RandomSchedule {
 
     private static final Duration IN_FORCE = Duration.ofSeconds(13);
     private static final int STEPS = 40;
-    private static final ImmutableSet<String> WRITES = ImmutableSet.of("POST", "PUT", "PATCH", "DELETE");
+    private static final ImmutableSet<String> WRITE_METHODS = ImmutableSet.of("POST", "PUT", "PATCH", "DELETE");
 
     final Fleet fleet;
     private final Random random;
@@ -33,13 +35,13 @@
         fleet.loss = random.nextDouble() * 0.1;
         fleet.duplication = random.nextDouble() * 0.2;
         fleet.latency = Duration.ofMillis(1 + random.nextInt(100));
-        fleet.latencyElsewhere = Duration.ofMillis(10 + random.nextInt(300));
+        fleet.remoteLatency = Duration.ofMillis(10 + random.nextInt(300));
     }
 
     private record Submitted(
             String operator,
             ConfigurationChange change,
-            long seen,
+            long basedOnVersion,
             FleetNode node,
             CompletableFuture<ChangeResult> result) {}
 
@@ -64,11 +66,11 @@
             case 3 -> fleet.nodes.forEach(FleetNode::resume);
             case 4 -> node().kill();
             case 5 -> fleet.nodes.stream().filter(node -> node.stopped).forEach(FleetNode::start);
-            case 6 -> fleet.cut(node().place(), node().place(), random.nextBoolean());
-            case 7 -> fleet.cutFromStore(node().place(), random.nextInt(3) == 0);
+            case 6 -> fleet.cut(node().dataCentre(), node().dataCentre(), random.nextBoolean());
+            case 7 -> fleet.cutFromStore(node().dataCentre(), random.nextInt(3) == 0);
             case 8 -> fleet.healAll();
-            case 9 -> submitIntoSilence();
-            default -> submitSome();
+            case 9 -> submitBeforeStoreStopsAnswering();
+            default -> submitSeveral();
         }
     }
 
@@ -87,7 +89,7 @@
         return fleet.nodes.get(random.nextInt(fleet.nodes.size()));
     }
 
-    private void submitSome() {
+    private void submitSeveral() {
         int count = 1 + random.nextInt(3);
         for (int i = 0; i < count; i++) {
             submit();
@@ -95,12 +97,15 @@
         }
     }
 
-    /** The store goes silent just when writes may be under way, for longer than a submission waits, or shorter. */
-    private void submitIntoSilence() {
+    /**
+     * Submits changes, then makes the store stop answering while writes may be under way, for a time that may be
+     * shorter or longer than a submission waits.
+     */
+    private void submitBeforeStoreStopsAnswering() {
         fleet.store.setFaults(StoreFaults.none().withDelay(Duration.ofMillis(10)));
-        submitSome();
+        submitSeveral();
         fleet.store.setFaults(StoreFaults.none().withSilent(true));
-        fleet.advance(Duration.ofSeconds(random.nextInt(Submission.MOST_SECONDS)));
+        fleet.advance(Duration.ofSeconds(random.nextInt(Submission.MAX_SECONDS)));
         fleet.store.setFaults(StoreFaults.none());
     }
 
@@ -111,10 +116,10 @@
         }
         String operator = "operator-" + submissions.size();
         ConfigurationChange change = randomChange();
-        long seen = node.version();
+        long basedOnVersion = node.version();
         CompletableFuture<ChangeResult> result = node.writer.submit(
-                change, operator, random.nextBoolean() ? seen : ConfigurationWriter.VERSION_IN_FORCE);
-        submissions.add(new Submitted(operator, change, seen, node, result));
+                change, operator, random.nextBoolean() ? basedOnVersion : ConfigurationWriter.VERSION_IN_FORCE);
+        submissions.add(new Submitted(operator, change, basedOnVersion, node, result));
         result.thenAccept(outcome -> {
             if (outcome instanceof ChangeResult.Accepted done) {
                 expectInForce(node, done.version());
@@ -124,8 +129,10 @@
 
     private ConfigurationChange randomChange() {
         return switch (random.nextInt(7)) {
-            case 0 -> new ConfigurationChange.MarkRoute("/orders", WRITES, random.nextBoolean());
-            case 1 -> new ConfigurationChange.SetDeadline("/orders", WRITES, Duration.ofMillis(1 + random.nextInt(99)));
+            case 0 -> new ConfigurationChange.MarkRoute("/orders", WRITE_METHODS, random.nextBoolean());
+            case 1 ->
+                new ConfigurationChange.SetDeadline(
+                        "/orders", WRITE_METHODS, Duration.ofMillis(1 + random.nextInt(99)));
             case 2 -> new ConfigurationChange.Drain(NodeId.of("n" + random.nextInt(3)));
             case 3 -> new ConfigurationChange.SetBudget("standard", random.nextInt(5), 0.1);
             case 4 -> new ConfigurationChange.SetLimit(ServiceName.of("s" + random.nextInt(3)), 1 + random.nextInt(9));
@@ -133,20 +140,21 @@
         };
     }
 
-    /** Notes when a node that was reachable all the time lacks the version after {@link #IN_FORCE}. */
+    /** Records a violation if a node that was reachable all the time lacks the version after {@link #IN_FORCE}. */
     private void expectInForce(FleetNode writer, long version) {
         long at = fleet.now();
         fleet.timers.after(IN_FORCE, () -> {
-            boolean steadyNetwork = fleet.lastNetworkChange < at && writer.steadySince < at;
-            if (!steadyNetwork) {
+            boolean stable = fleet.lastNetworkChange < at && writer.runningSince < at;
+            if (!stable) {
                 return;
             }
-            Set<String> places = fleet.reachableFrom(writer.place(), at);
+            Set<String> dataCentres = fleet.reachableFrom(writer.dataCentre(), at);
             for (FleetNode node : fleet.nodes) {
-                if (places.contains(node.place()) && node.steadySince < at) {
+                if (dataCentres.contains(node.dataCentre()) && node.runningSince < at) {
                     inForceChecks++;
                     if (node.version() < version) {
-                        fleet.violations.add(node.self.id() + " is at " + node.version() + " 13 s after " + version);
+                        fleet.violations.add(node.self.id() + " still has version " + node.version()
+                                + " 13 s after version " + version);
                     }
                 }
             }
@@ -157,7 +165,7 @@
         fleet.store.setFaults(StoreFaults.none());
         fleet.healAll();
         fleet.nodes.stream().filter(node -> node.stopped).forEach(FleetNode::start);
-        fleet.advance(Duration.ofSeconds(Submission.MOST_SECONDS));
+        fleet.advance(Duration.ofSeconds(Submission.MAX_SECONDS));
     }
 
     private void checkOutcomes() {
@@ -169,13 +177,13 @@
         ImmutableList<ChangeRecord> history = reader.changes(head, 0).join();
         for (FleetNode node : fleet.nodes) {
             if (node.version() != head.version()) {
-                fleet.violations.add(
-                        node.self.id() + " ends at " + node.version() + ", the store at " + head.version());
+                fleet.violations.add(node.self.id() + " ends with version " + node.version()
+                        + ", the store with version " + head.version());
             }
         }
-        Configuration start = FleetNode.defaults().at(head.lineage(), 0);
-        if (!start.after(history).equals(fleet.nodes.get(0).keeper.current())) {
-            fleet.violations.add("the nodes' document is not the sum of the changes");
+        Configuration start = FleetNode.defaults().withVersion(head.lineage(), 0);
+        if (!start.after(history).equals(fleet.nodes.get(0).activeConfiguration.current())) {
+            fleet.violations.add("the document of the nodes is not the result of the accepted changes");
         }
         submissions.forEach(submitted -> check(submitted, history, start));
     }
@@ -197,23 +205,28 @@
         }
         if (result instanceof ChangeResult.Accepted done) {
             accepted++;
-            boolean there = !found.isEmpty()
+            boolean inHistory = !found.isEmpty()
                     && found.get(0).version() == done.version()
                     && found.get(0).changeId().equals(done.changeId());
-            if (!there) {
-                fleet.violations.add(submitted.operator() + " was told accepted, and the change is not there");
+            if (!inHistory) {
+                fleet.violations.add(
+                        submitted.operator() + "'s change was reported as accepted but is not in the history");
             }
         } else if (result instanceof ChangeResult.Unknown) {
             unknown++;
         } else if (result != null) {
             conflicts += result instanceof ChangeResult.Conflict ? 1 : 0;
             if (!found.isEmpty()) {
-                fleet.violations.add(submitted.operator() + " was told " + result + ", and the change is there");
+                fleet.violations.add(
+                        submitted.operator() + "'s change was reported as " + result + " but is in the history");
             }
         }
     }
 
-    /** The change was made on the version before it, and nobody's change of its setting was overwritten unseen. */
+    /**
+     * Checks that the change was applied to the previous version and overwrote no change of the same setting that its
+     * operator had not seen.
+     */
     private void checkRecord(
             Submitted submitted, ChangeRecord record, ImmutableList<ChangeRecord> history, Configuration start) {
         int index = (int) record.version() - 1;
@@ -225,9 +238,10 @@
         } catch (ConfigurationException e) {
             fleet.violations.add("version " + record.version() + " is not acceptable: " + e.getMessage());
         }
-        for (ChangeRecord between : history.subList((int) submitted.seen(), index)) {
+        for (ChangeRecord between : history.subList((int) submitted.basedOnVersion(), index)) {
             if (between.touched().overlaps(submitted.change().setting())) {
-                fleet.violations.add(submitted.operator() + " overwrote " + between.operator() + "'s change unseen");
+                fleet.violations.add(
+                        submitted.operator() + " overwrote " + between.operator() + "'s change without having seen it");
             }
         }
     }
