--- a/src/main/java/io/beryldock/eventloop/EventLoops.java
+++ b/src/main/java/io/beryldock/eventloop/EventLoops.java
@@ -8,16 +8,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The traffic threads: peer connections, HTTP connections and the timers of requests.
+ * The event loop threads, which run peer connections, HTTP connections and request timers.
  *
- * <p>A request that stays on one thread costs no wake-up between them; several nodes of one process may share them.
+ * <p>A request whose steps all run on one event loop needs no thread wake-up between them. Several nodes in one process
+ * may share the event loops.
  *
- * <p>Thread safe. Whoever creates it closes it, after what runs on it.
+ * <p>Thread safe. The creator closes the event loops, after the components that run on them.
  */
 public final class EventLoops implements AutoCloseable {
 
-    private static final long QUIET_MILLIS = 0;
-    private static final long STOP_MILLIS = 2000;
+    private static final long SHUTDOWN_QUIET_MILLIS = 0;
+    private static final long SHUTDOWN_TIMEOUT_MILLIS = 2000;
 
     private final EventLoopGroup group;
 
@@ -25,12 +26,12 @@
         this.group = group;
     }
 
-    /** Starts {@code threads} daemon threads. */
+    /** Creates event loops on {@code threads} daemon threads. */
     public static EventLoops create(int threads) {
         return create("traffic", threads);
     }
 
-    /** Starts daemon threads of that name. */
+    /** Creates event loops on {@code threads} daemon threads whose names start with {@code name}. */
     public static EventLoops create(String name, int threads) {
         DefaultThreadFactory factory = new DefaultThreadFactory(name, true);
         return new EventLoops(new MultiThreadIoEventLoopGroup(threads, factory, NioIoHandler.newFactory()));
@@ -46,6 +47,6 @@
 
     @Override
     public void close() {
-        var unused = group.shutdownGracefully(QUIET_MILLIS, STOP_MILLIS, TimeUnit.MILLISECONDS);
+        var unused = group.shutdownGracefully(SHUTDOWN_QUIET_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/io/beryldock/eventloop/LoopTimerService.java
+++ b/src/main/java/io/beryldock/eventloop/LoopTimerService.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 
 /**
- * A timer whose tasks run on an event loop, so that a timer of a request wakes no other thread.
+ * A timer whose tasks run on an event loop, so that an expiring request timer wakes no other thread.
  *
  * <p>Thread safe.
  */
@@ -19,7 +19,7 @@
         this.timers = ScheduledTimers.on(loop, Runnable::run);
     }
 
-    /** A timer on one of the loops. */
+    /** Creates a timer on one of the event loops. */
     public static LoopTimerService on(EventLoops loops) {
         return new LoopTimerService(loops.next());
     }
--- a/src/main/java/io/beryldock/eventloop/package-info.java
+++ b/src/main/java/io/beryldock/eventloop/package-info.java
@@ -1,2 +1,2 @@
-/** The traffic threads of a process and the timer that runs on them. */
+/** The event loop threads of a process and the timer that runs on them. */
 package io.beryldock.eventloop;
