--- a/src/test/java/io/beryldock/peer/ClockedPeerTransportTest.java
+++ b/src/test/java/io/beryldock/peer/ClockedPeerTransportTest.java
@@ -16,25 +16,26 @@
 
 class ClockedPeerTransportTest {
 
-    private static final InetSocketAddress ANYWHERE = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+    private static final InetSocketAddress ADDRESS = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     private static final ByteString BODY = ByteString.copyFromUtf8("body");
 
     private final HybridLogicalClock ahead = HybridLogicalClock.create(() -> Instant.ofEpochMilli(9_000));
     private final HybridLogicalClock behind = HybridLogicalClock.create(() -> Instant.ofEpochMilli(5_000));
-    private final Wire wire = new Wire();
-    private final PeerTransport sender = ClockedPeerTransport.create(wire, ahead);
-    private final PeerTransport receiver = ClockedPeerTransport.create(wire, behind);
+    private final FakeTransport transport = new FakeTransport();
+    private final PeerTransport sender = ClockedPeerTransport.create(transport, ahead);
+    private final PeerTransport receiver = ClockedPeerTransport.create(transport, behind);
 
     private CompletableFuture<ByteString> request() {
-        return sender.request(ANYWHERE, PeerTopic.CALL, BODY, Duration.ofSeconds(1));
+        return sender.request(ADDRESS, PeerTopic.CALL, BODY, Duration.ofSeconds(1));
     }
 
     /**
-     * A node whose wall clock is 4 s behind sheds because of a level that it was told. In the time line its decision
-     * stood before the change of level that it followed from.
+     * Guards against a wrong order of events in the timeline. A node whose wall clock is 4 s behind sheds a request
+     * because of a level that it received from another node. Without a clock time in the message, its decision would be
+     * recorded as earlier than the change of level that caused it.
      */
     @Test
-    void whatFollowsFromAMessageComesAfterWhatWentBefore() {
+    void eventsAfterAReceivedMessageAreLaterThanEventsBeforeItWasSent() {
         List<ByteString> bodies = new ArrayList<>();
         List<HlcTime> times = new ArrayList<>();
         receiver.handle(PeerTopic.CALL, message -> {
@@ -44,35 +45,35 @@
         });
         HlcTime cause = ahead.now();
         assertThat(request().join()).isEqualTo(BODY);
-        sender.send(ANYWHERE, PeerTopic.CALL, ByteString.EMPTY);
+        sender.send(ADDRESS, PeerTopic.CALL, ByteString.EMPTY);
         assertThat(bodies).containsExactly(BODY, ByteString.EMPTY);
         assertThat(times.get(0)).isGreaterThan(cause);
         assertThat(ahead.now()).isGreaterThan(times.get(0));
     }
 
     @Test
-    void failuresAndCancellationsGoThroughAsTheyAre() {
+    void failuresAndCancellationsArePassedOnUnchanged() {
         receiver.handle(PeerTopic.CALL, message -> {});
         PeerException failure = new PeerException(PeerException.Kind.NOT_SENT, "refused");
         CompletableFuture<ByteString> failed = request();
         List<Throwable> seen = new ArrayList<>();
         CompletableFuture<?> unused = failed.whenComplete((body, error) -> seen.add(error));
-        wire.replies.get(0).completeExceptionally(failure);
+        transport.replies.get(0).completeExceptionally(failure);
         assertThat(seen).containsExactly(failure);
         request().cancel(false);
-        assertThat(wire.replies.get(1)).isCancelled();
+        assertThat(transport.replies.get(1)).isCancelled();
     }
 
     @Test
-    void messageWithoutATimeIsDropped() {
+    void aMessageWithoutATimeIsDropped() {
         List<ByteString> bodies = new ArrayList<>();
         receiver.handle(PeerTopic.CALL, message -> bodies.add(message.body()));
-        wire.send(ANYWHERE, PeerTopic.CALL, BODY);
+        transport.send(ADDRESS, PeerTopic.CALL, BODY);
         assertThat(bodies).isEmpty();
     }
 
-    /** Hands each message to the one handler at once. */
-    private static final class Wire implements PeerTransport {
+    /** Passes each message directly to the only handler. */
+    private static final class FakeTransport implements PeerTransport {
         private final List<CompletableFuture<ByteString>> replies = new ArrayList<>();
         private PeerHandler handler;
 
--- a/src/test/java/io/beryldock/peer/FaultyRelay.java
+++ b/src/test/java/io/beryldock/peer/FaultyRelay.java
@@ -15,22 +15,25 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Passes TCP connections on to one address and can spoil each direction of those that are open.
+ * Forwards TCP connections to one address and injects faults into each direction of the open connections.
  *
- * <p>Thread safe. Connections made after a fault was set work until the next one is set.
+ * <p>A fault of one direction applies to the connections that are open when it is set. Connections made later start
+ * with the fault given to {@link #setFaultOfNewConnections}.
+ *
+ * <p>Thread safe.
  */
 final class FaultyRelay implements AutoCloseable {
 
-    private static final int BUFFER = 16 * 1024;
-    private static final long FROZEN_NANOS = 1_000_000;
-    private static final long ACCEPT_NANOS = 1_000_000;
+    private static final int BUFFER_BYTES = 16 * 1024;
+    private static final long FROZEN_POLL_NANOS = 1_000_000;
+    private static final long ACCEPT_POLL_NANOS = 1_000_000;
 
     private final ServerSocketChannel server;
     private final InetSocketAddress target;
-    private final List<Lane> lanes = new CopyOnWriteArrayList<>();
+    private final List<Pipe> pipes = new CopyOnWriteArrayList<>();
     private final AtomicInteger connections = new AtomicInteger();
     private final LongAdder bytes = new LongAdder();
-    private volatile Fault faultOfNew = Fault.NONE;
+    private volatile Fault faultOfNewConnections = Fault.NONE;
 
     private FaultyRelay(ServerSocketChannel server, InetSocketAddress target) {
         this.server = server;
@@ -50,7 +53,7 @@
         return (InetSocketAddress) server.socket().getLocalSocketAddress();
     }
 
-    /** Bytes taken from either end. */
+    /** Returns the number of bytes received from both ends. */
     long bytes() {
         return bytes.sum();
     }
@@ -59,48 +62,48 @@
         return connections.get();
     }
 
-    /** Spoils the way to the target on the open connections. */
-    void spoilForth(Fault fault) {
-        lanes.stream().filter(lane -> lane.forth).forEach(lane -> lane.fault = fault);
+    /** Sets the fault of the direction to the target on all open connections. */
+    void setForwardFault(Fault fault) {
+        pipes.stream().filter(pipe -> pipe.forward).forEach(pipe -> pipe.fault = fault);
     }
 
-    /** Spoils the way back from the target on the open connections. */
-    void spoilBack(Fault fault) {
-        lanes.stream().filter(lane -> !lane.forth).forEach(lane -> lane.fault = fault);
+    /** Sets the fault of the direction from the target on all open connections. */
+    void setBackwardFault(Fault fault) {
+        pipes.stream().filter(pipe -> !pipe.forward).forEach(pipe -> pipe.fault = fault);
     }
 
-    /** Spoils both ways of connections still to be made. */
-    void spoilNew(Fault fault) {
-        faultOfNew = fault;
+    /** Sets the fault of both directions of connections that are made from now on. */
+    void setFaultOfNewConnections(Fault fault) {
+        faultOfNewConnections = fault;
     }
 
-    /** Ends the open connections. */
-    void cut() {
-        lanes.forEach(Lane::close);
+    /** Closes the open connections. */
+    void closeConnections() {
+        pipes.forEach(Pipe::close);
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        cut();
+        closeConnections();
     }
 
     /**
-     * Whether all bytes given to the relay have been passed on, thrown away or held back by a fault.
+     * Whether all bytes sent to the relay have been forwarded, discarded or held back by a fault.
      *
-     * <p>Takes new connections first, so that bytes sent on these are seen too.
+     * <p>Accepts pending connections first, so that bytes sent on them are included.
      */
-    boolean quiet() {
+    boolean settled() {
         try {
-            acceptWaiting();
-            for (Lane lane : lanes) {
-                if (!lane.quiet()) {
+            acceptPending();
+            for (Pipe pipe : pipes) {
+                if (!pipe.settled()) {
                     return false;
                 }
             }
             return true;
         } catch (IOException e) {
-            // A lane was closed meanwhile: looked at again.
+            // A pipe was closed during the check, so the caller must check again.
             return false;
         }
     }
@@ -108,37 +111,37 @@
     private void accept() {
         try {
             while (server.isOpen()) {
-                acceptWaiting();
-                LockSupport.parkNanos(ACCEPT_NANOS);
+                acceptPending();
+                LockSupport.parkNanos(ACCEPT_POLL_NANOS);
             }
         } catch (IOException e) {
-            cut();
+            closeConnections();
         }
     }
 
-    private synchronized void acceptWaiting() throws IOException {
-        SocketChannel near = server.isOpen() ? server.accept() : null;
-        while (near != null) {
-            connect(near.socket());
-            near = server.isOpen() ? server.accept() : null;
+    private synchronized void acceptPending() throws IOException {
+        SocketChannel accepted = server.isOpen() ? server.accept() : null;
+        while (accepted != null) {
+            connect(accepted.socket());
+            accepted = server.isOpen() ? server.accept() : null;
         }
     }
 
-    /** A refused connection is refused in turn. */
-    private void connect(Socket near) throws IOException {
+    /** Connects to the target, and closes the client's connection if the target refuses. */
+    private void connect(Socket clientSocket) throws IOException {
         try {
-            Socket far = new Socket(target.getAddress(), target.getPort());
-            start(new Lane(near, far, true, faultOfNew));
-            start(new Lane(far, near, false, faultOfNew));
+            Socket targetSocket = new Socket(target.getAddress(), target.getPort());
+            start(new Pipe(clientSocket, targetSocket, true, faultOfNewConnections));
+            start(new Pipe(targetSocket, clientSocket, false, faultOfNewConnections));
             connections.incrementAndGet();
         } catch (ConnectException e) {
-            near.close();
+            clientSocket.close();
         }
     }
 
-    private void start(Lane lane) {
-        lanes.add(lane);
-        daemon(lane::run);
+    private void start(Pipe pipe) {
+        pipes.add(pipe);
+        daemon(pipe::run);
     }
 
     private static void daemon(Runnable task) {
@@ -147,65 +150,65 @@
         thread.start();
     }
 
-    /** What becomes of the bytes of one direction. */
+    /** The fault of one direction of a connection. */
     enum Fault {
         NONE,
-        /** Bytes are taken and thrown away. */
+        /** Bytes are read and discarded. */
         LOSE,
-        /** Bytes are not taken, so that the sender's buffers fill. */
+        /** Bytes are not read, so that the sender's buffers fill. */
         FREEZE
     }
 
     /** One direction of one connection. */
-    private final class Lane {
+    private final class Pipe {
         private final Socket from;
         private final Socket to;
-        private final boolean forth;
+        private final boolean forward;
         private volatile Fault fault;
-        private volatile boolean passing;
+        private volatile boolean forwarding;
 
-        Lane(Socket from, Socket to, boolean forth, Fault fault) {
+        Pipe(Socket from, Socket to, boolean forward, Fault fault) {
             this.from = from;
             this.to = to;
-            this.forth = forth;
+            this.forward = forward;
             this.fault = fault;
         }
 
         void run() {
-            byte[] buffer = new byte[BUFFER];
+            byte[] buffer = new byte[BUFFER_BYTES];
             try {
                 InputStream in = from.getInputStream();
                 int count = in.read(buffer);
                 while (count >= 0) {
-                    passing = true;
+                    forwarding = true;
                     bytes.add(count);
-                    pass(buffer, count);
-                    passing = false;
+                    forward(buffer, count);
+                    forwarding = false;
                     count = in.read(buffer);
                 }
             } catch (IOException e) {
-                // a cut connection ends like a closed one
+                // Handled like the end of the stream: the pipe is closed below.
             }
             close();
         }
 
-        private void pass(byte[] buffer, int count) throws IOException {
+        private void forward(byte[] buffer, int count) throws IOException {
             while (fault == Fault.FREEZE && !from.isClosed()) {
-                LockSupport.parkNanos(FROZEN_NANOS);
+                LockSupport.parkNanos(FROZEN_POLL_NANOS);
             }
             if (fault == Fault.NONE) {
                 to.getOutputStream().write(buffer, 0, count);
             }
         }
 
-        boolean quiet() throws IOException {
+        boolean settled() throws IOException {
             return from.isClosed()
                     || fault == Fault.FREEZE
-                    || (!passing && from.getInputStream().available() == 0);
+                    || (!forwarding && from.getInputStream().available() == 0);
         }
 
         void close() {
-            lanes.remove(this);
+            pipes.remove(this);
             try {
                 from.close();
                 to.close();
--- a/src/test/java/io/beryldock/peer/LoopTickTest.java
+++ b/src/test/java/io/beryldock/peer/LoopTickTest.java
@@ -12,11 +12,11 @@
 class LoopTickTest {
 
     /**
-     * Sound connections are given up after a handler held up its event loop. Ticks that were due meanwhile would run
-     * in a row before anything is read; only one of them does.
+     * Guards against healthy connections that are abandoned after a handler has blocked its event loop. Without
+     * coalescing, all ticks posted during the block would run in a row before the loop reads any bytes.
      */
     @Test
-    void ticksOfAHeldUpLoopRunOnce() throws Exception {
+    void ticksPostedToABlockedLoopRunOnce() throws Exception {
         try (EventLoops loops = EventLoops.create(1)) {
             EventLoop loop = loops.next();
             CountDownLatch released = new CountDownLatch(1);
--- a/src/test/java/io/beryldock/peer/NettyPeerTransportTest.java
+++ b/src/test/java/io/beryldock/peer/NettyPeerTransportTest.java
@@ -30,14 +30,14 @@
     }
 
     /**
-     * A lecturer gets another one's list. Many requests share one connection and their replies come in another order.
-     * Each reply reaches the request with its id.
+     * Guards against a caller that receives the reply to another request. Many requests share one connection and their
+     * replies arrive in a different order; each reply must complete the request with the same id.
      */
     @Test
-    void repliesOutOfOrderReachTheirOwnRequests() throws Exception {
+    void repliesOutOfOrderCompleteTheirOwnRequests() throws Exception {
         List<CompletableFuture<ByteString>> replies = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            replies.add(pair.ask(PeerTopic.QUERY, "ask " + i));
+            replies.add(pair.request(PeerTopic.QUERY, "ask " + i));
         }
         PeerPair.await(() -> pair.held.size() == 200);
         List<PeerHandler.PeerMessage> shuffled = new ArrayList<>(pair.held);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aBodyOfOneMebibyteGoesThereAndBack() throws Exception {
+    void aBodyOfOneMebibyteIsSentAndReturnedUnchanged() throws Exception {
         byte[] body = new byte[1 << 20];
         new Random(3).nextBytes(body);
         CompletableFuture<ByteString> reply =
@@ -68,75 +68,75 @@
     }
 
     @Test
-    void aMessageOverThePeersBoundIsNotSentAndAReplyOverItIsLost() throws Exception {
-        PeerPair.get(pair.ask(PeerTopic.CALL, "hello"));
+    void aTooLargeMessageFailsAsNotSentAndATooLargeReplyAsLost() throws Exception {
+        PeerPair.get(pair.request(PeerTopic.CALL, "hello"));
         ByteString large = ByteString.copyFrom(new byte[3 << 20]);
         assertThat(PeerPair.failure(pair.a.request(pair.relay.address(), PeerTopic.CALL, large, PeerPair.LONG)))
                 .isEqualTo(PeerException.Kind.NOT_SENT);
-        CompletableFuture<ByteString> reply = pair.askHeld("ask");
+        CompletableFuture<ByteString> reply = pair.requestHeld("ask");
         pair.held.get(0).reply(large);
         assertThat(PeerPair.failure(reply)).isEqualTo(PeerException.Kind.LOST);
-        assertThat(PeerPair.get(pair.ask(PeerTopic.CALL, "still"))).isEqualTo("still");
+        assertThat(PeerPair.get(pair.request(PeerTopic.CALL, "still"))).isEqualTo("still");
     }
 
     @Test
-    void aTopicWithoutHandlerIsNotSentAndAHandlerThatFailsIsLost() throws Exception {
+    void aTopicWithoutHandlerFailsAsNotSentAndAFailingHandlerAsLost() throws Exception {
         pair.b.handle(PeerTopic.TICKETS, message -> {
             throw new IllegalStateException("broken handler");
         });
-        assertThat(PeerPair.failure(pair.ask(PeerTopic.QUARANTINE, "x"))).isEqualTo(PeerException.Kind.NOT_SENT);
-        assertThat(PeerPair.failure(pair.ask(PeerTopic.TICKETS, "x"))).isEqualTo(PeerException.Kind.LOST);
+        assertThat(PeerPair.failure(pair.request(PeerTopic.QUARANTINE, "x"))).isEqualTo(PeerException.Kind.NOT_SENT);
+        assertThat(PeerPair.failure(pair.request(PeerTopic.TICKETS, "x"))).isEqualTo(PeerException.Kind.LOST);
     }
 
     @Test
-    void aCancelledRequestCancelsTheWorkAtThePeerAndItsLateReplyIsDropped() throws Exception {
-        CompletableFuture<ByteString> reply = pair.askHeld("page");
+    void aCancelledRequestIsCancelledAtThePeerAndItsLateReplyIsDropped() throws Exception {
+        CompletableFuture<ByteString> reply = pair.requestHeld("page");
         AtomicInteger cancelled = new AtomicInteger();
         pair.held.get(0).onCancel(cancelled::incrementAndGet);
         reply.cancel(false);
         PeerPair.await(() -> cancelled.get() == 1);
         pair.held.get(0).reply(PeerPair.text("late"));
-        assertThat(PeerPair.get(pair.ask(PeerTopic.CALL, "next"))).isEqualTo("next");
+        assertThat(PeerPair.get(pair.request(PeerTopic.CALL, "next"))).isEqualTo("next");
         assertThat(cancelled).hasValue(1);
     }
 
     /**
-     * An answer is shown to the wrong page. A request timed out, its reply was already on the way, and the next request
-     * is waiting when it comes. The reply matches no waiting request and is counted and dropped.
+     * Guards against a late reply that completes another request. A request times out while its reply is in flight. The
+     * reply matches no request that is still open, so it must be counted and dropped.
      */
     @Test
     void aReplyAfterTheDeadlineIsDropped() throws Exception {
         CompletableFuture<ByteString> reply =
                 pair.a.request(pair.relay.address(), PeerTopic.QUERY, PeerPair.text("slow"), Duration.ofMillis(200));
         PeerPair.await(() -> pair.held.size() == 1);
-        pair.relay.spoilForth(FaultyRelay.Fault.FREEZE);
+        pair.relay.setForwardFault(FaultyRelay.Fault.FREEZE);
         pair.advance(Duration.ofMillis(250));
         assertThat(PeerPair.failure(reply)).isEqualTo(PeerException.Kind.TIMED_OUT);
         pair.held.get(0).reply(PeerPair.text("late"));
         PeerPair.await(() -> pair.a.stats().droppedReplies() == 1);
-        pair.relay.spoilForth(FaultyRelay.Fault.NONE);
-        assertThat(PeerPair.get(pair.ask(PeerTopic.CALL, "next"))).isEqualTo("next");
+        pair.relay.setForwardFault(FaultyRelay.Fault.NONE);
+        assertThat(PeerPair.get(pair.request(PeerTopic.CALL, "next"))).isEqualTo("next");
     }
 
     @Test
-    void aCutConnectionLosesItsCallsAndCancelsTheirWork() throws Exception {
-        CompletableFuture<ByteString> reply = pair.askHeld("order");
+    void aClosedConnectionFailsItsRequestsAsLostAndCancelsThemAtThePeer() throws Exception {
+        CompletableFuture<ByteString> reply = pair.requestHeld("order");
         AtomicInteger cancelled = new AtomicInteger();
         pair.held.get(0).onCancel(cancelled::incrementAndGet);
-        pair.relay.cut();
+        pair.relay.closeConnections();
         assertThat(PeerPair.failure(reply)).isEqualTo(PeerException.Kind.LOST);
         PeerPair.await(() -> cancelled.get() == 1);
-        assertThat(PeerPair.get(pair.ask(PeerTopic.CALL, "next"))).isEqualTo("next");
+        assertThat(PeerPair.get(pair.request(PeerTopic.CALL, "next"))).isEqualTo("next");
     }
 
     @Test
-    void aClosedTransportSendsNothing() throws Exception {
+    void aRequestOnAClosedTransportFailsAsNotSent() throws Exception {
         pair.a.close();
-        assertThat(PeerPair.failure(pair.ask(PeerTopic.CALL, "x"))).isEqualTo(PeerException.Kind.NOT_SENT);
+        assertThat(PeerPair.failure(pair.request(PeerTopic.CALL, "x"))).isEqualTo(PeerException.Kind.NOT_SENT);
     }
 
     @Test
-    void aTakenPortIsNamedWithTheRemedy() {
+    void aPortInUseIsReportedWithTheSettingsKeyAndTheRemedy() {
         NettyPeerTransport second = NettyPeerTransport.create(
                 PeerTransportSettings.insecure(pair.b.localAddress()),
                 PeerPair.identity("c"),
@@ -150,14 +150,15 @@
     }
 
     /**
-     * A rolling restart fails requests. The node that stops takes no more of them, yet its peers go on sending over
-     * open connections. It names the last request that it takes: that one gets its reply, later ones fail as not sent.
+     * Guards against requests that fail during a rolling restart. Peers continue to send over open connections to a
+     * node that accepts no more requests. Its go-away frame names the last accepted request: that request gets its
+     * reply, and later ones fail as not sent.
      */
     @Test
-    void aDrainingNodeEndsWhatItHasAndTakesNothingMore() throws Exception {
-        CompletableFuture<ByteString> inFlight = pair.askHeld("order");
+    void aDrainingNodeFinishesItsRequestsAndAcceptsNoMore() throws Exception {
+        CompletableFuture<ByteString> inFlight = pair.requestHeld("order");
         CompletableFuture<Void> drained = pair.b.drain();
-        CompletableFuture<ByteString> later = pair.ask(PeerTopic.QUERY, "later");
+        CompletableFuture<ByteString> later = pair.request(PeerTopic.QUERY, "later");
         assertThat(PeerPair.failure(later)).isEqualTo(PeerException.Kind.NOT_SENT);
         pair.advance(Duration.ofMillis(200));
         assertThat(drained).isNotDone();
--- a/src/test/java/io/beryldock/peer/PeerConnectTest.java
+++ b/src/test/java/io/beryldock/peer/PeerConnectTest.java
@@ -39,19 +39,20 @@
     }
 
     /**
-     * Callers wait for a node that is gone. Nothing listens at its address: the first request fails as not sent when
-     * the connect is refused, those in the pause after it fail at once, and after the pause a returned node is reached.
+     * Guards against callers that wait for a node that is gone. Nothing listens at its address: the first request fails
+     * as not sent when the connect is refused, requests during the back-off fail at once, and after the back-off a
+     * restarted node is reached.
      */
     @Test
-    void aRefusedConnectIsNotSentAndFailsFastUntilThePauseIsOver() throws Exception {
-        ServerSocket place = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        InetSocketAddress address = new InetSocketAddress(place.getInetAddress(), place.getLocalPort());
-        place.close();
+    void aRefusedConnectFailsAsNotSentAndRequestsFailFastDuringTheBackoff() throws Exception {
+        ServerSocket probeSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        InetSocketAddress address = new InetSocketAddress(probeSocket.getInetAddress(), probeSocket.getLocalPort());
+        probeSocket.close();
         assertThat(failure(address)).isEqualTo(PeerException.Kind.NOT_SENT);
-        try (NettyPeerTransport returned = NettyPeerTransport.create(
+        try (NettyPeerTransport restarted = NettyPeerTransport.create(
                 PeerTransportSettings.insecure(address), PeerPair.identity("c"), pair.timers, pair.sink())) {
-            returned.handle(PeerTopic.CALL, message -> message.reply(message.body()));
-            returned.start();
+            restarted.handle(PeerTopic.CALL, message -> message.reply(message.body()));
+            restarted.start();
             assertThat(failure(address)).isEqualTo(PeerException.Kind.NOT_SENT);
             pair.advance(LIMITS.backoffMin());
             assertThat(PeerPair.get(pair.a.request(address, PeerTopic.CALL, PeerPair.text("x"), PeerPair.LONG)))
@@ -60,18 +61,18 @@
     }
 
     /**
-     * Callers wait for a node that hangs. Its kernel still takes connections but its process says nothing. No request
-     * was written, so all of them fail as not sent when the time for the hello is over; more than may wait fail at
-     * once.
+     * Guards against callers that wait for a node that hangs. Its kernel still accepts connections but its process
+     * sends no hello. No request was written, so all fail as not sent after the connect timeout; requests above the
+     * limit of waiting messages fail at once.
      */
     @Test
-    void aPeerThatNeverSaysHelloHasBeenSentNothing() throws Exception {
-        pair.relay.spoilNew(Fault.LOSE);
+    void requestsToAPeerThatSendsNoHelloFailAsNotSent() throws Exception {
+        pair.relay.setFaultOfNewConnections(Fault.LOSE);
         List<CompletableFuture<ByteString>> replies = new ArrayList<>();
         for (int i = 0; i < LIMITS.maxWaitingMessages(); i++) {
-            replies.add(pair.ask(PeerTopic.QUERY, "ask"));
+            replies.add(pair.request(PeerTopic.QUERY, "ask"));
         }
-        assertThat(PeerPair.failure(pair.ask(PeerTopic.QUERY, "too many"))).isEqualTo(PeerException.Kind.NOT_SENT);
+        assertThat(PeerPair.failure(pair.request(PeerTopic.QUERY, "too many"))).isEqualTo(PeerException.Kind.NOT_SENT);
         pair.advance(LIMITS.connectTimeout().minus(TICK.multipliedBy(2)));
         assertThat(replies).noneMatch(CompletableFuture::isDone);
         pair.advance(TICK.multipliedBy(3));
@@ -82,8 +83,8 @@
     }
 
     @Test
-    void aRequestWhoseDeadlinePassesBeforeTheConnectIsNotSent() throws Exception {
-        pair.relay.spoilNew(Fault.LOSE);
+    void aRequestWhoseDeadlinePassesBeforeTheConnectFailsAsNotSent() throws Exception {
+        pair.relay.setFaultOfNewConnections(Fault.LOSE);
         CompletableFuture<ByteString> reply =
                 pair.a.request(pair.relay.address(), PeerTopic.CALL, PeerPair.text("x"), TICK);
         pair.advance(TICK.multipliedBy(2));
@@ -91,36 +92,37 @@
     }
 
     /**
-     * A request for one node runs at another. The VM was replaced and its address given to a new node. The hello names
-     * another node than expected: the connection is given up before the request is written.
+     * Guards against a request that runs on the wrong node. A VM was replaced and its address was assigned to a new
+     * node. The hello names a node other than the expected one, so the connection is abandoned before the request is
+     * written.
      */
     @Test
-    void anotherNodeAtTheAddressGetsNothing() throws Exception {
+    void aRequestIsNotSentToAnUnexpectedNodeAtTheAddress() throws Exception {
         pair.a.expect(address -> Optional.of(NodeId.of("gone")));
-        assertThat(PeerPair.failure(pair.ask(PeerTopic.QUERY, "x"))).isEqualTo(PeerException.Kind.NOT_SENT);
+        assertThat(PeerPair.failure(pair.request(PeerTopic.QUERY, "x"))).isEqualTo(PeerException.Kind.NOT_SENT);
         pair.a.expect(address -> Optional.of(NodeId.of("b")));
         pair.advance(LIMITS.backoffMin());
-        assertThat(PeerPair.get(pair.ask(PeerTopic.CALL, "x"))).isEqualTo("x");
+        assertThat(PeerPair.get(pair.request(PeerTopic.CALL, "x"))).isEqualTo("x");
         assertThat(pair.held).isEmpty();
     }
 
     @Test
-    void aPeerOfAnUnknownProtocolOrWithAMalformedNameGetsNothing() throws Exception {
+    void aRequestToAPeerWithAnUnsupportedProtocolOrAMalformedIdFailsAsNotSent() throws Exception {
         Hello newer = hello("c").setProtocol(9).setOldestProtocol(9).build();
-        assertThat(failureAtPeerThatSays(Frame.newBuilder().setHello(newer).build()))
+        assertThat(failureAtPeerThatSends(Frame.newBuilder().setHello(newer).build()))
                 .isEqualTo(PeerException.Kind.NOT_SENT);
-        assertThat(failureAtPeerThatSays(
+        assertThat(failureAtPeerThatSends(
                         Frame.newBuilder().setHello(hello("no name!")).build()))
                 .isEqualTo(PeerException.Kind.NOT_SENT);
     }
 
     @Test
-    void aConnectionThatSaysNoHelloOrNonsenseIsClosed() throws Exception {
+    void aConnectionWithoutHelloOrWithInvalidBytesIsClosed() throws Exception {
         try (Socket silent = new Socket(
                         InetAddress.getLoopbackAddress(), pair.b.localAddress().getPort());
-                Socket noise = new Socket(
+                Socket invalid = new Socket(
                         InetAddress.getLoopbackAddress(), pair.b.localAddress().getPort())) {
-            noise.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(java.nio.charset.StandardCharsets.UTF_8));
+            invalid.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(java.nio.charset.StandardCharsets.UTF_8));
             PeerPair.await(() -> pair.b.stats().connections().size() == 1);
             pair.advance(LIMITS.connectTimeout().plus(TICK));
             PeerPair.await(() -> pair.b.stats().connections().isEmpty());
@@ -140,7 +142,7 @@
                 .setOldestProtocol(1);
     }
 
-    private PeerException.Kind failureAtPeerThatSays(Frame frame) throws Exception {
+    private PeerException.Kind failureAtPeerThatSends(Frame frame) throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             InetSocketAddress address = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
             CompletableFuture<ByteString> reply =
--- a/src/test/java/io/beryldock/peer/PeerPair.java
+++ b/src/test/java/io/beryldock/peer/PeerPair.java
@@ -22,17 +22,20 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** Two transports, a and b, with a relay from a to b, on one event loop and a clock that the test moves. */
+/** Two transports, a and b, with a relay from a to b, on one event loop and a clock that the test advances. */
 final class PeerPair implements AutoCloseable {
 
     static final Duration LONG = Duration.ofHours(1);
     private static final Duration TICK = PeerLiveness.defaults().tick();
-    private static final long WAIT_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
-    /** Looks at the relay in a row: bytes that go back and forth are now with the loop, now with the relay. */
-    private static final int QUIET_ROUNDS = 3;
+    /**
+     * Number of consecutive checks that must find the relay settled. One check is not enough, because bytes alternate
+     * between the event loop and the relay.
+     */
+    private static final int SETTLED_ROUNDS = 3;
 
-    /** A receiver that stopped reading keeps the relay from ever being quiet: the clock goes on all the same. */
+    /** Limit of the checks: if a receiver stopped reading, the relay never settles and the clock must still advance. */
     private static final int MAX_ROUNDS = 20_000;
 
     final ManualTimerService timers = ManualTimerService.create();
@@ -43,9 +46,10 @@
     final FaultyRelay relay;
     private final EventLoops loops = EventLoops.create(1);
 
-    private PeerPair(PeerTransportSettings ofA, PeerTransportSettings ofB) throws PeerStartException, IOException {
-        a = transport("a", ofA);
-        b = transport("b", ofB);
+    private PeerPair(PeerTransportSettings settingsOfA, PeerTransportSettings settingsOfB)
+            throws PeerStartException, IOException {
+        a = transport("a", settingsOfA);
+        b = transport("b", settingsOfB);
         b.handle(PeerTopic.CALL, message -> message.reply(message.body()));
         b.handle(PeerTopic.QUERY, held::add);
         a.start();
@@ -53,7 +57,7 @@
         relay = FaultyRelay.start(b.localAddress());
     }
 
-    /** Node b answers topic CALL with the body and keeps requests of topic QUERY in {@link #held}. */
+    /** Starts a pair: b replies to topic CALL with the body and keeps requests of topic QUERY in {@link #held}. */
     static PeerPair start() throws PeerStartException, IOException {
         return start(PeerLimits.defaults());
     }
@@ -64,8 +68,9 @@
         return new PeerPair(settings, settings);
     }
 
-    static PeerPair start(PeerTransportSettings ofA, PeerTransportSettings ofB) throws PeerStartException, IOException {
-        return new PeerPair(ofA, ofB);
+    static PeerPair start(PeerTransportSettings settingsOfA, PeerTransportSettings settingsOfB)
+            throws PeerStartException, IOException {
+        return new PeerPair(settingsOfA, settingsOfB);
     }
 
     static InetSocketAddress anyPort() {
@@ -88,34 +93,34 @@
         return (kind, id, subject, detail) -> events.add(kind);
     }
 
-    /** Asks b through the relay. */
-    CompletableFuture<ByteString> ask(PeerTopic topic, String body) {
+    /** Sends a request to b through the relay. */
+    CompletableFuture<ByteString> request(PeerTopic topic, String body) {
         return a.request(relay.address(), topic, text(body), LONG);
     }
 
-    /** Asks b, whose handler keeps the request, and waits until it has come. */
-    CompletableFuture<ByteString> askHeld(String body) {
+    /** Sends a request to b, whose handler keeps it in {@link #held}, and waits until it has arrived. */
+    CompletableFuture<ByteString> requestHeld(String body) {
         int before = held.size();
-        CompletableFuture<ByteString> reply = ask(PeerTopic.QUERY, body);
+        CompletableFuture<ByteString> reply = request(PeerTopic.QUERY, body);
         await(() -> held.size() > before);
         return reply;
     }
 
     static String get(CompletableFuture<ByteString> reply) throws Exception {
-        return reply.get(WAIT_SECONDS, TimeUnit.SECONDS).toStringUtf8();
+        return reply.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).toStringUtf8();
     }
 
-    /** The kind of failure of a request that has failed or does so without the clock being moved. */
+    /** Returns the kind of failure of a request that fails without a further advance of the clock. */
     static PeerException.Kind failure(CompletableFuture<ByteString> reply)
             throws InterruptedException, TimeoutException {
         try {
-            throw new AssertionError("answered: " + reply.get(WAIT_SECONDS, TimeUnit.SECONDS));
+            throw new AssertionError("answered: " + reply.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         } catch (ExecutionException e) {
             return ((PeerException) e.getCause()).kind();
         }
     }
 
-    /** Moves the clock tick by tick; after each, the event loop has done all that it was given. */
+    /** Advances the clock tick by tick and waits after each tick until the event loop and the relay have settled. */
     void advance(Duration step) {
         for (long left = step.toNanos(); left > 0; left -= TICK.toNanos()) {
             timers.advance(TICK);
@@ -123,31 +128,31 @@
         }
     }
 
-    /** Moves the clock tick by tick until the condition holds; returns the time that it took. */
+    /** Advances the clock tick by tick until the condition holds; returns the time by which it was advanced. */
     Duration advanceUntil(BooleanSupplier condition, Duration bound) {
-        Duration taken = Duration.ZERO;
-        while (!condition.getAsBoolean() && taken.compareTo(bound) < 0) {
+        Duration advanced = Duration.ZERO;
+        while (!condition.getAsBoolean() && advanced.compareTo(bound) < 0) {
             advance(TICK);
-            taken = taken.plus(TICK);
+            advanced = advanced.plus(TICK);
         }
         if (!condition.getAsBoolean()) {
-            throw new AssertionError("not within " + bound);
+            throw new AssertionError("the condition did not hold within " + bound);
         }
-        return taken;
+        return advanced;
     }
 
-    /** Waits, with the clock standing still, for what the sockets still carry. */
+    /** Waits, without advancing the clock, until bytes in flight have made the condition true. */
     static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - end > 0) {
-                throw new AssertionError("never came about");
+                throw new AssertionError("the condition did not hold in time");
             }
             LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(100));
         }
     }
 
-    /** Processor time of the event loop of both transports. */
+    /** Returns the CPU time of the event loop of both transports. */
     long loopCpuNanos() throws InterruptedException, ExecutionException {
         return loops.next()
                 .submit(() -> ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime())
@@ -155,17 +160,17 @@
     }
 
     /**
-     * Waits, with the clock standing still, until the event loop has done all that it was given and the relay has
-     * passed on all bytes.
+     * Waits, without advancing the clock, until the event loop has run all its tasks and the relay has forwarded all
+     * bytes.
      *
-     * <p>Without the relay's part the clock ran 20 s ahead in a tenth of a second while bytes were still on their way,
-     * and sound connections ended as silent ones.
+     * <p>Without the wait for the relay, the clock can advance by 20 s in 0.1 s of real time while bytes are still in
+     * flight, and healthy connections are abandoned as silent.
      */
     private void settle() {
-        int quiet = 0;
-        for (int round = 0; quiet < QUIET_ROUNDS && round < MAX_ROUNDS; round++) {
+        int settledRounds = 0;
+        for (int round = 0; settledRounds < SETTLED_ROUNDS && round < MAX_ROUNDS; round++) {
             loops.next().submit(() -> {}).syncUninterruptibly();
-            quiet = relay.quiet() ? quiet + 1 : 0;
+            settledRounds = relay.settled() ? settledRounds + 1 : 0;
         }
     }
 
--- a/src/test/java/io/beryldock/peer/PeerRoundTripBenchmark.java
+++ b/src/test/java/io/beryldock/peer/PeerRoundTripBenchmark.java
@@ -14,9 +14,9 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * Measures round trips between two transports in one process, over loopback; not part of the tests.
+ * Measures round trips between two transports in one process over the loopback interface; not run as a test.
  *
- * <p>Arguments: seconds a case, and the directory of the PEM files. Processor time is that of both ends together.
+ * <p>Arguments: the seconds for each case, and the directory of the PEM files. CPU time is the sum of both ends.
  */
 final class PeerRoundTripBenchmark {
 
@@ -70,13 +70,13 @@
         }
     }
 
-    /** Bytes (without those of TCP and IP) and processor time of a connection made for one request. */
+    /** Measures the bytes, excluding TCP and IP headers, and the CPU time of a connection made for one request. */
     private static void measureConnects(PeerTransportSettings settings, String label) throws Exception {
         try (PeerPair pair = PeerPair.start(settings, settings)) {
-            connectAgain(pair, WARM_UP);
+            reconnect(pair, WARM_UP);
             long bytes = pair.relay.bytes();
             long cpu = pair.loopCpuNanos();
-            connectAgain(pair, CONNECTS);
+            reconnect(pair, CONNECTS);
             System.out.printf(
                     Locale.ROOT,
                     "connect with one request of 1 byte, tls %s: %d bytes, %.0f cpu-us of both ends%n",
@@ -86,10 +86,10 @@
         }
     }
 
-    private static void connectAgain(PeerPair pair, int times) throws Exception {
+    private static void reconnect(PeerPair pair, int times) throws Exception {
         for (int i = 0; i < times; i++) {
-            PeerPair.get(pair.ask(PeerTopic.CALL, "x"));
-            pair.relay.cut();
+            PeerPair.get(pair.request(PeerTopic.CALL, "x"));
+            pair.relay.closeConnections();
             PeerPair.await(() -> pair.a.stats().connections().isEmpty());
         }
     }
@@ -105,23 +105,24 @@
 
     private static Result run(NettyPeerTransport a, NettyPeerTransport b, int bodyBytes, int concurrency, Duration time)
             throws InterruptedException {
-        Lane lane = new Lane(a, b, ByteString.copyFrom(new byte[bodyBytes]), System.nanoTime() + time.toNanos());
+        RequestLoop requestLoop =
+                new RequestLoop(a, b, ByteString.copyFrom(new byte[bodyBytes]), System.nanoTime() + time.toNanos());
         long cpu = cpuNanos();
         long start = System.nanoTime();
         CountDownLatch ended = new CountDownLatch(concurrency);
         for (int i = 0; i < concurrency; i++) {
-            lane.next(ended);
+            requestLoop.sendNext(ended);
         }
         ended.await();
         double seconds = (System.nanoTime() - start) / 1e9;
-        long count = lane.count.get();
+        long count = requestLoop.count.get();
         double cpuMicros = (cpuNanos() - cpu) / 1e3 / count;
-        double p50 = lane.times.getValueAtPercentile(50) / 1e3;
-        return new Result(count / seconds, p50, lane.times.getValueAtPercentile(99) / 1e3, cpuMicros);
+        double p50 = requestLoop.times.getValueAtPercentile(50) / 1e3;
+        return new Result(count / seconds, p50, requestLoop.times.getValueAtPercentile(99) / 1e3, cpuMicros);
     }
 
-    /** Requests that follow one another until the end of the run. */
-    private static final class Lane {
+    /** Sends each request when the previous one has been answered, until the end of the run. */
+    private static final class RequestLoop {
         private final NettyPeerTransport a;
         private final NettyPeerTransport b;
         private final ByteString body;
@@ -129,14 +130,14 @@
         private final ConcurrentHistogram times = new ConcurrentHistogram(3);
         private final AtomicLong count = new AtomicLong();
 
-        Lane(NettyPeerTransport a, NettyPeerTransport b, ByteString body, long end) {
+        RequestLoop(NettyPeerTransport a, NettyPeerTransport b, ByteString body, long end) {
             this.a = a;
             this.b = b;
             this.body = body;
             this.end = end;
         }
 
-        void next(CountDownLatch ended) {
+        void sendNext(CountDownLatch ended) {
             long start = System.nanoTime();
             CompletableFuture<ByteString> reply = a.request(b.localAddress(), PeerTopic.CALL, body, TIMEOUT);
             var unused = reply.whenComplete((bytes, failure) -> {
@@ -147,7 +148,7 @@
                 times.recordValue(now - start);
                 count.incrementAndGet();
                 if (now < end) {
-                    next(ended);
+                    sendNext(ended);
                 } else {
                     ended.countDown();
                 }
--- a/src/test/java/io/beryldock/peer/PeerTlsTest.java
+++ b/src/test/java/io/beryldock/peer/PeerTlsTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The PEM files in the resources were made once with openssl, valid from 2020 to 2120. */
+/** Uses PEM files from the resources, which were generated with openssl and are valid from 2020 to 2120. */
 class PeerTlsTest {
 
     private static final int LARGE = 1 << 20;
-    private static final Duration RELOAD = Duration.ofSeconds(11);
+    private static final Duration TIME_TO_RELOAD = Duration.ofSeconds(11);
 
     @TempDir
     private Path directory;
@@ -32,17 +32,18 @@
         return PeerTransportSettings.secure(PeerPair.anyPort(), files);
     }
 
-    private static PeerTransportSettings clear() {
+    private static PeerTransportSettings unencrypted() {
         return PeerTransportSettings.insecure(PeerPair.anyPort());
     }
 
-    private void put(String from, String as) throws IOException, URISyntaxException {
-        Files.copy(resource(from), directory.resolve(as), StandardCopyOption.REPLACE_EXISTING);
+    private void copyResource(String resource, String name) throws IOException, URISyntaxException {
+        Files.copy(resource(resource), directory.resolve(name), StandardCopyOption.REPLACE_EXISTING);
     }
 
-    private static void refuses(PeerTransportSettings ofA, PeerTransportSettings ofB) throws Exception {
-        try (PeerPair pair = PeerPair.start(ofA, ofB)) {
-            var reply = pair.ask(PeerTopic.QUERY, "x");
+    private static void assertRequestNotSent(PeerTransportSettings settingsOfA, PeerTransportSettings settingsOfB)
+            throws Exception {
+        try (PeerPair pair = PeerPair.start(settingsOfA, settingsOfB)) {
+            var reply = pair.request(PeerTopic.QUERY, "x");
             pair.advanceUntil(
                     reply::isDone, PeerLimits.defaults().connectTimeout().multipliedBy(2));
             assertThat(PeerPair.failure(reply)).isEqualTo(PeerException.Kind.NOT_SENT);
@@ -51,76 +52,76 @@
     }
 
     @Test
-    void nodesOfOneAuthorityTalk() throws Exception {
+    void nodesWithCertificatesOfOneAuthorityExchangeMessages() throws Exception {
         try (PeerPair pair = PeerPair.start(settings("node-a", "fleet"), settings("node-b", "fleet"))) {
-            assertThat(PeerPair.get(pair.ask(PeerTopic.CALL, "secret"))).isEqualTo("secret");
+            assertThat(PeerPair.get(pair.request(PeerTopic.CALL, "secret"))).isEqualTo("secret");
         }
     }
 
     /**
-     * A stranger reads orders or sends them. It reaches the port with a certificate of another authority, or with none:
-     * in neither role does it get a message across.
+     * Guards against an untrusted process that reads or sends messages. A process with a certificate of another
+     * authority, or without one, reaches the peer port; no message is delivered, whichever side makes the connection.
      */
     @Test
-    void strangersGetNothingAcross() throws Exception {
-        refuses(settings("stranger", "fleet"), settings("node-b", "fleet"));
-        refuses(settings("node-a", "fleet"), settings("stranger", "fleet"));
-        refuses(clear(), settings("node-b", "fleet"));
-        refuses(settings("node-a", "fleet"), clear());
+    void noMessageIsExchangedWithAnUntrustedPeer() throws Exception {
+        assertRequestNotSent(settings("stranger", "fleet"), settings("node-b", "fleet"));
+        assertRequestNotSent(settings("node-a", "fleet"), settings("stranger", "fleet"));
+        assertRequestNotSent(unencrypted(), settings("node-b", "fleet"));
+        assertRequestNotSent(settings("node-a", "fleet"), unencrypted());
     }
 
     /**
-     * An order hangs on a connection that went silent, under TLS: its closing message can't be written either. The
-     * connection is given up in the same bound as without TLS.
+     * Guards against a request that hangs on a silent connection with TLS, whose close_notify message can't be written
+     * either. The connection must be abandoned within the same limit as without TLS.
      */
     @Test
-    void aSilentConnectionUnderTlsIsGivenUpInTheSameBound() throws Exception {
+    void aSilentConnectionWithTlsIsAbandonedWithinTheLimit() throws Exception {
         try (PeerPair pair = PeerPair.start(settings("node-a", "fleet"), settings("node-b", "fleet"))) {
-            var reply = pair.askHeld("order");
-            pair.relay.spoilForth(FaultyRelay.Fault.FREEZE);
-            pair.relay.spoilBack(FaultyRelay.Fault.LOSE);
+            var reply = pair.requestHeld("order");
+            pair.relay.setForwardFault(FaultyRelay.Fault.FREEZE);
+            pair.relay.setBackwardFault(FaultyRelay.Fault.LOSE);
             ByteString large = ByteString.copyFrom(new byte[LARGE]);
             for (int i = 0; i < 20; i++) {
                 var unused = pair.a.request(pair.relay.address(), PeerTopic.CALL, large, PeerPair.LONG);
             }
             pair.advanceUntil(reply::isDone, Duration.ofMillis(1200));
             assertThat(PeerPair.failure(reply)).isEqualTo(PeerException.Kind.LOST);
-            assertThat(PeerPair.get(pair.ask(PeerTopic.CALL, "next"))).isEqualTo("next");
+            assertThat(PeerPair.get(pair.request(PeerTopic.CALL, "next"))).isEqualTo("next");
         }
     }
 
     /**
-     * Nodes can't reach one another after their keys were renewed. The files change under the running node: connections
-     * that stand go on, new ones use the new files; a file caught half written changes nothing.
+     * Guards against nodes that can't connect after their keys were renewed. The files change while the node runs: open
+     * connections are kept, new connections use the new files, and a partly written file changes nothing.
      */
     @Test
     void changedFilesAreUsedForNewConnections() throws Exception {
-        put("node-a.pem", "cert");
-        put("node-a.key.pem", "key");
-        put("fleet-ca.pem", "trust");
+        copyResource("node-a.pem", "cert");
+        copyResource("node-a.key.pem", "key");
+        copyResource("fleet-ca.pem", "trust");
         PeerTlsFiles files =
                 new PeerTlsFiles(directory.resolve("cert"), directory.resolve("key"), directory.resolve("trust"));
-        PeerTransportSettings ofA = PeerTransportSettings.secure(PeerPair.anyPort(), files);
-        try (PeerPair pair = PeerPair.start(ofA, settings("node-b", "fleet"))) {
-            assertThat(PeerPair.get(pair.ask(PeerTopic.CALL, "1"))).isEqualTo("1");
+        PeerTransportSettings settingsOfA = PeerTransportSettings.secure(PeerPair.anyPort(), files);
+        try (PeerPair pair = PeerPair.start(settingsOfA, settings("node-b", "fleet"))) {
+            assertThat(PeerPair.get(pair.request(PeerTopic.CALL, "1"))).isEqualTo("1");
             Files.writeString(directory.resolve("key"), "half written");
-            pair.timers.advance(RELOAD);
-            pair.relay.cut();
+            pair.timers.advance(TIME_TO_RELOAD);
+            pair.relay.closeConnections();
             PeerPair.await(() -> pair.a.stats().connections().isEmpty());
-            assertThat(PeerPair.get(pair.ask(PeerTopic.CALL, "2"))).isEqualTo("2");
+            assertThat(PeerPair.get(pair.request(PeerTopic.CALL, "2"))).isEqualTo("2");
 
-            put("stranger.pem", "cert");
-            put("stranger.key.pem", "key");
-            pair.timers.advance(RELOAD);
-            assertThat(PeerPair.get(pair.ask(PeerTopic.CALL, "3"))).isEqualTo("3");
-            pair.relay.cut();
+            copyResource("stranger.pem", "cert");
+            copyResource("stranger.key.pem", "key");
+            pair.timers.advance(TIME_TO_RELOAD);
+            assertThat(PeerPair.get(pair.request(PeerTopic.CALL, "3"))).isEqualTo("3");
+            pair.relay.closeConnections();
             PeerPair.await(() -> pair.a.stats().connections().isEmpty());
-            assertThat(PeerPair.failure(pair.ask(PeerTopic.CALL, "4"))).isEqualTo(PeerException.Kind.NOT_SENT);
+            assertThat(PeerPair.failure(pair.request(PeerTopic.CALL, "4"))).isEqualTo(PeerException.Kind.NOT_SENT);
         }
     }
 
     @Test
-    void unusableFilesAreNamedWithTheRemedy() throws Exception {
+    void unusableFilesAreReportedWithTheSettingsKeyAndTheRemedy() throws Exception {
         PeerTlsFiles missing = new PeerTlsFiles(Path.of("no-such.pem"), Path.of("no-key.pem"), Path.of("no-ca.pem"));
         PeerTransportSettings settings = PeerTransportSettings.secure(PeerPair.anyPort(), missing);
         assertThatThrownBy(() -> PeerPair.start(settings, settings))
--- a/src/test/java/io/beryldock/peer/PeerTransportRandomFaultsTest.java
+++ b/src/test/java/io/beryldock/peer/PeerTransportRandomFaultsTest.java
@@ -15,53 +15,55 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Seeded runs with faults on real sockets: the faults replay from the seed, how the bytes interleave doesn't. */
+/** Injects random faults on real sockets. The seed reproduces the faults, but not the interleaving of the bytes. */
 class PeerTransportRandomFaultsTest {
 
     private static final List<Fault> FAULTS = List.of(Fault.NONE, Fault.LOSE, Fault.FREEZE);
     private static final int STEPS = 250;
     private static final Duration BOUND = Duration.ofSeconds(20);
 
-    private final Map<String, Integer> runs = new ConcurrentHashMap<>();
-    private final Map<String, CompletableFuture<ByteString>> asked = new HashMap<>();
+    private final Map<String, Integer> runCounts = new ConcurrentHashMap<>();
+    private final Map<String, CompletableFuture<ByteString>> requests = new HashMap<>();
 
     /**
-     * Orders run twice or after they were refused. Connections are cut, frozen and made deaf in each direction while
-     * requests and cancellations go on. Each request ends once; none runs twice; one that was not sent never ran; an
-     * answer belongs to its request.
+     * Guards against requests that run twice, or that run although they failed as not sent. Connections are closed, and
+     * their bytes are discarded or held back in each direction, while requests and cancellations continue. Each request
+     * must end, none may run twice, a request that failed as not sent must not have run, and a reply must belong to its
+     * request.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void outcomesStayTrueUnderFaults(long seed) throws Exception {
+    void outcomesAreCorrectUnderRandomFaults(long seed) throws Exception {
         Random random = new Random(seed);
         try (PeerPair pair = PeerPair.start()) {
             pair.b.handle(PeerTopic.TICKETS, message -> run(message, pair));
             for (int i = 0; i < STEPS; i++) {
                 step(pair, random, "seed " + seed + " request " + i);
             }
-            pair.relay.spoilForth(Fault.NONE);
-            pair.relay.spoilBack(Fault.NONE);
+            pair.relay.setForwardFault(Fault.NONE);
+            pair.relay.setBackwardFault(Fault.NONE);
             pair.advanceUntil(() -> allEnded(pair), BOUND);
-            for (Map.Entry<String, CompletableFuture<ByteString>> request : asked.entrySet()) {
-                check(request.getKey(), request.getValue());
+            for (Map.Entry<String, CompletableFuture<ByteString>> request : requests.entrySet()) {
+                checkOutcome(request.getKey(), request.getValue());
             }
         }
     }
 
     /**
-     * Whether all requests have ended, once what is held was replied to.
+     * Replies to all held requests and returns whether all requests have ended.
      *
-     * <p>A request may come out of the relay only now, after the last reply of the steps. Replied to but once before
-     * the wait, it would be held for ever and look like one that the transport forgot.
+     * <p>The replies are repeated at each call, because a request may leave the relay only after the last step. If the
+     * test replied only once before the wait, that request would be held forever and would look as if the transport had
+     * lost it.
      */
     private boolean allEnded(PeerPair pair) {
         pair.held.forEach(message -> message.reply(message.body()));
-        return asked.values().stream().allMatch(CompletableFuture::isDone);
+        return requests.values().stream().allMatch(CompletableFuture::isDone);
     }
 
     private void run(PeerHandler.PeerMessage message, PeerPair pair) {
         String name = message.body().toStringUtf8();
-        runs.merge(name, 1, Integer::sum);
+        runCounts.merge(name, 1, Integer::sum);
         if (name.endsWith("3")) {
             pair.held.add(message);
         } else {
@@ -70,24 +72,24 @@
     }
 
     private void step(PeerPair pair, Random random, String name) {
-        asked.put(name, pair.ask(PeerTopic.TICKETS, name));
+        requests.put(name, pair.request(PeerTopic.TICKETS, name));
         switch (random.nextInt(24)) {
-            case 0 -> pair.relay.spoilForth(fault(random));
-            case 1 -> pair.relay.spoilBack(fault(random));
-            case 2 -> pair.relay.cut();
-            case 3 -> asked.get(name).cancel(false);
+            case 0 -> pair.relay.setForwardFault(randomFault(random));
+            case 1 -> pair.relay.setBackwardFault(randomFault(random));
+            case 2 -> pair.relay.closeConnections();
+            case 3 -> requests.get(name).cancel(false);
             case 4, 5, 6 -> pair.held.forEach(message -> message.reply(message.body()));
             case 7 -> pair.advance(Duration.ofMillis(random.nextInt(3000)));
             default -> pair.advance(Duration.ofMillis(random.nextInt(100)));
         }
     }
 
-    private static Fault fault(Random random) {
+    private static Fault randomFault(Random random) {
         return FAULTS.get(random.nextInt(FAULTS.size()));
     }
 
-    private void check(String name, CompletableFuture<ByteString> reply) throws Exception {
-        int ran = runs.getOrDefault(name, 0);
+    private void checkOutcome(String name, CompletableFuture<ByteString> reply) throws Exception {
+        int ran = runCounts.getOrDefault(name, 0);
         assertThat(ran).as(name).isLessThanOrEqualTo(1);
         if (reply.isCancelled()) {
             return;
--- a/src/test/java/io/beryldock/peer/SilentConnectionTest.java
+++ b/src/test/java/io/beryldock/peer/SilentConnectionTest.java
@@ -34,38 +34,39 @@
     }
 
     /**
-     * A page hangs although new pages open. A device between two nodes forgot the connection: bytes of both directions
-     * vanish, the sockets report nothing. The call ends as lost within the bound, and the next goes over a new
-     * connection.
+     * Guards against a call that hangs on a dead connection. A network device between two nodes drops its state of the
+     * connection: bytes of both directions are lost and the sockets report no error. The call must fail as lost within
+     * the limit, and the next call must use a new connection.
      */
     @Test
-    void aCallOnAForgottenConnectionIsLostInTimeAndTheNextGetsANewOne() throws Exception {
-        CompletableFuture<ByteString> reply = pair.askHeld("page");
+    void aCallOnADeadConnectionFailsAsLostWithinTheLimitAndTheNextUsesANewConnection() throws Exception {
+        CompletableFuture<ByteString> reply = pair.requestHeld("page");
         AtomicInteger cancelled = new AtomicInteger();
         pair.held.get(0).onCancel(cancelled::incrementAndGet);
-        pair.relay.spoilForth(Fault.LOSE);
-        pair.relay.spoilBack(Fault.LOSE);
+        pair.relay.setForwardFault(Fault.LOSE);
+        pair.relay.setBackwardFault(Fault.LOSE);
 
         pair.advanceUntil(reply::isDone, SILENCE);
 
         assertThat(PeerPair.failure(reply)).isEqualTo(PeerException.Kind.LOST);
         assertThat(pair.events).contains(EventKind.PEER_CONNECTION_STALLED);
         assertThat(pair.a.stats().stalled()).isEqualTo(1);
-        assertThat(PeerPair.get(pair.ask(PeerTopic.CALL, "next"))).isEqualTo("next");
+        assertThat(PeerPair.get(pair.request(PeerTopic.CALL, "next"))).isEqualTo("next");
         assertThat(pair.a.stats().reconnects()).isEqualTo(1);
         pair.advanceUntil(() -> cancelled.get() == 1, SILENCE);
     }
 
     /**
-     * An order hangs. What node a sends is lost on its way, what b sends still arrives, so that both sockets look
-     * sound. Both ends learn of it within the bound: a's call ends as lost, b cancels the work that it has for a.
+     * Guards against a call that hangs when only one direction fails. Bytes from node a are lost while bytes from b
+     * still arrive, so both sockets appear healthy. Both ends must detect the loss within the limit: the call of a
+     * fails as lost, and b cancels the request that it runs for a.
      */
     @Test
-    void lossOfTheWayForthIsSeenAtBothEnds() throws Exception {
-        CompletableFuture<ByteString> reply = pair.askHeld("order");
+    void lossOfTheForwardDirectionIsDetectedAtBothEnds() throws Exception {
+        CompletableFuture<ByteString> reply = pair.requestHeld("order");
         AtomicInteger cancelled = new AtomicInteger();
         pair.held.get(0).onCancel(cancelled::incrementAndGet);
-        pair.relay.spoilForth(Fault.LOSE);
+        pair.relay.setForwardFault(Fault.LOSE);
 
         pair.advanceUntil(() -> reply.isDone() && cancelled.get() == 1, SILENCE);
 
@@ -73,16 +74,17 @@
     }
 
     /**
-     * An order hangs though its target has run it. The reply is lost on its way back, with the pongs. The asking end
-     * gives the connection up within the bound, and the other end, whose way is sound, sees it closed.
+     * Guards against a call that hangs although the target has run it. The reply and the pongs are lost. The calling
+     * end must abandon the connection within the limit; the other end, whose incoming direction works, then receives
+     * the close.
      */
     @Test
-    void lossOfTheWayBackIsSeenAtBothEnds() throws Exception {
-        CompletableFuture<ByteString> reply = pair.askHeld("order");
-        CompletableFuture<ByteString> other = pair.askHeld("other");
+    void lossOfTheBackwardDirectionIsDetectedAtBothEnds() throws Exception {
+        CompletableFuture<ByteString> reply = pair.requestHeld("order");
+        CompletableFuture<ByteString> other = pair.requestHeld("other");
         AtomicInteger cancelled = new AtomicInteger();
         pair.held.get(1).onCancel(cancelled::incrementAndGet);
-        pair.relay.spoilBack(Fault.LOSE);
+        pair.relay.setBackwardFault(Fault.LOSE);
         pair.held.get(0).reply(PeerPair.text("ran"));
 
         pair.advanceUntil(reply::isDone, SILENCE);
@@ -93,13 +95,14 @@
     }
 
     /**
-     * Memory of a node grows until it dies. Its peer stopped reading, and requests pile up unwritten. Over the bound
-     * they fail at once as not sent, and those written end as lost within the bound.
+     * Guards against a node that runs out of memory because a peer stopped reading and unwritten requests accumulate.
+     * Requests above the buffer limit must fail at once as not sent, and those already written must fail as lost within
+     * the silence limit.
      */
     @Test
-    void requestsToAStalledReaderAreBoundedAndEnd() throws Exception {
-        PeerPair.get(pair.ask(PeerTopic.CALL, "hello"));
-        pair.relay.spoilForth(Fault.FREEZE);
+    void requestsToAPeerThatStoppedReadingAreBoundedAndFail() throws Exception {
+        PeerPair.get(pair.request(PeerTopic.CALL, "hello"));
+        pair.relay.setForwardFault(Fault.FREEZE);
         ByteString large = ByteString.copyFrom(new byte[LARGE]);
         List<CompletableFuture<ByteString>> replies = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
@@ -120,42 +123,42 @@
     }
 
     /**
-     * Memory of a target's node grows until it dies. Its peer asks but stopped reading replies. The node stops reading
-     * more requests from it and gives the connection up within the bound.
+     * Guards against a target's node that runs out of memory because a peer sends requests without reading the replies.
+     * The node must stop reading requests from the peer and abandon the connection within the limit.
      */
     @Test
-    void aPeerThatDoesNotReadItsRepliesIsGivenUp() throws Exception {
-        PeerTransportSettings ofB = PeerTransportSettings.insecure(PeerPair.anyPort());
-        PeerTransportSettings ofA = ofB.withLiveness(BOUNDS.withSilenceLimit(PeerPair.LONG));
-        try (PeerPair patient = PeerPair.start(ofA, ofB)) {
+    void aConnectionToAPeerThatDoesNotReadRepliesIsAbandoned() throws Exception {
+        PeerTransportSettings settingsOfB = PeerTransportSettings.insecure(PeerPair.anyPort());
+        PeerTransportSettings settingsOfA = settingsOfB.withLiveness(BOUNDS.withSilenceLimit(PeerPair.LONG));
+        try (PeerPair pairWithoutLimitAtA = PeerPair.start(settingsOfA, settingsOfB)) {
             ByteString large = ByteString.copyFrom(new byte[LARGE]);
             List<CompletableFuture<ByteString>> replies = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                replies.add(patient.askHeld("ask " + i));
+                replies.add(pairWithoutLimitAtA.requestHeld("ask " + i));
             }
-            patient.relay.spoilBack(Fault.FREEZE);
-            patient.held.forEach(message -> message.reply(large));
-            PeerPair.await(() -> patient.b.stats().messagesOut() >= replies.size());
-            replies.add(patient.ask(PeerTopic.QUERY, "one more"));
+            pairWithoutLimitAtA.relay.setBackwardFault(Fault.FREEZE);
+            pairWithoutLimitAtA.held.forEach(message -> message.reply(large));
+            PeerPair.await(() -> pairWithoutLimitAtA.b.stats().messagesOut() >= replies.size());
+            replies.add(pairWithoutLimitAtA.request(PeerTopic.QUERY, "one more"));
 
-            patient.advanceUntil(() -> patient.b.stats().stalled() == 1, SILENCE);
+            pairWithoutLimitAtA.advanceUntil(() -> pairWithoutLimitAtA.b.stats().stalled() == 1, SILENCE);
 
-            assertThat(patient.held).hasSize(replies.size() - 1);
+            assertThat(pairWithoutLimitAtA.held).hasSize(replies.size() - 1);
         }
     }
 
     /**
-     * Every first order after a quiet minute has an unknown outcome. The idle connection was forgotten on the way. A
-     * ping before use finds that out while the order is still unwritten, and the order runs once, over a new
-     * connection.
+     * Guards against an unknown outcome of the first request after an idle period, if a network device has dropped its
+     * state of the idle connection. A ping before use must detect this while the request is still unwritten, and the
+     * request must run once, over a new connection.
      */
     @Test
-    void aRequestAfterAQuietTimeIsNotWrittenToADeadConnection() throws Exception {
-        PeerPair.get(pair.ask(PeerTopic.CALL, "first"));
+    void aRequestAfterAnIdlePeriodIsNotWrittenToADeadConnection() throws Exception {
+        PeerPair.get(pair.request(PeerTopic.CALL, "first"));
         pair.advance(BOUNDS.probeAfter());
-        pair.relay.spoilForth(Fault.LOSE);
+        pair.relay.setForwardFault(Fault.LOSE);
 
-        CompletableFuture<ByteString> order = pair.ask(PeerTopic.QUERY, "order");
+        CompletableFuture<ByteString> order = pair.request(PeerTopic.QUERY, "order");
         pair.advance(BOUNDS.probeTimeout().plus(BOUNDS.tick().multipliedBy(2)));
         PeerPair.await(() -> pair.held.size() == 1);
         pair.held.get(0).reply(PeerPair.text("placed"));
@@ -166,12 +169,12 @@
     }
 
     /**
-     * A slow answer never comes, as its connection is taken for dead. A target works for a minute on one request
-     * while nothing else is asked. Pings show that the peer reads, and the connection stays.
+     * Guards against a slow reply that is lost because its connection is considered dead. A target works for a minute
+     * on one request while no other message is sent. Pings confirm that the peer reads, so the connection must be kept.
      */
     @Test
-    void aLongRequestOnASoundConnectionIsNotGivenUp() throws Exception {
-        CompletableFuture<ByteString> reply = pair.askHeld("slow");
+    void aHealthyConnectionWithALongRequestIsKept() throws Exception {
+        CompletableFuture<ByteString> reply = pair.requestHeld("slow");
         for (int i = 0; i < 150; i++) {
             pair.advance(BOUNDS.pingAfter().plus(BOUNDS.tick().multipliedBy(2)));
             PeerPair.await(() -> pair.a.stats().messagesIn() == pair.a.stats().messagesOut() - 1);
@@ -184,38 +187,38 @@
     }
 
     /**
-     * Nodes of a whole VM row call a healthy node failed. Their one-way messages to it vanish on a forgotten
-     * connection, and nothing ever comes back on it by itself. A ping now and then finds that out, and a new
-     * connection is made.
+     * Guards against a healthy node that other nodes declare failed. Their one-way messages to the node are lost on a
+     * dead connection, on which no reply is expected that could reveal the loss. Occasional pings must detect the loss,
+     * and a new connection must be made.
      */
     @Test
-    void oneWayMessagesDoNotGoToADeadConnectionForLong() throws Exception {
+    void oneWayMessagesOnADeadConnectionMoveToANewOneWithinTheLimit() throws Exception {
         AtomicInteger seen = new AtomicInteger();
         pair.b.handle(PeerTopic.MEMBERSHIP, message -> seen.incrementAndGet());
-        notice();
+        sendNotice();
         PeerPair.await(() -> seen.get() == 1);
-        pair.relay.spoilForth(Fault.LOSE);
-        Duration passed = Duration.ZERO;
+        pair.relay.setForwardFault(Fault.LOSE);
+        Duration elapsed = Duration.ZERO;
         while (pair.a.stats().stalled() == 0) {
-            notice();
+            sendNotice();
             pair.advance(BOUNDS.probeAfter());
-            passed = passed.plus(BOUNDS.probeAfter());
+            elapsed = elapsed.plus(BOUNDS.probeAfter());
         }
-        notice();
+        sendNotice();
         PeerPair.await(() -> seen.get() == 2);
-        assertThat(passed)
+        assertThat(elapsed)
                 .isLessThanOrEqualTo(
                         BOUNDS.noticePingAfter().plus(BOUNDS.probeAfter().multipliedBy(2)));
     }
 
-    private void notice() {
+    private void sendNotice() {
         pair.a.send(pair.relay.address(), PeerTopic.MEMBERSHIP, PeerPair.text("probe"));
     }
 
-    /** A quiet connection costs nothing, and is closed by the node that made it; its link is forgotten. */
+    /** An idle connection causes no traffic and is closed by the node that made it, which then removes its link. */
     @Test
     void anIdleConnectionSendsNothingAndIsClosed() throws Exception {
-        PeerPair.get(pair.ask(PeerTopic.CALL, "once"));
+        PeerPair.get(pair.request(PeerTopic.CALL, "once"));
         long before = pair.a.stats().bytesOut();
 
         pair.advance(BOUNDS.idleClose().plus(BOUNDS.tick()));
@@ -223,6 +226,6 @@
         assertThat(pair.a.stats().bytesOut()).isEqualTo(before);
         PeerPair.await(() -> pair.a.stats().connections().isEmpty()
                 && pair.b.stats().connections().isEmpty());
-        assertThat(PeerPair.get(pair.ask(PeerTopic.CALL, "again"))).isEqualTo("again");
+        assertThat(PeerPair.get(pair.request(PeerTopic.CALL, "again"))).isEqualTo("again");
     }
 }
