--- a/src/main/java/io/beryldock/node/AbsentPlatformStore.java
+++ b/src/main/java/io/beryldock/node/AbsentPlatformStore.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Stands for the platform store of a node whose settings name none: it is always down. Stateless. */
+/** The platform store of a node whose settings contain none: every call fails. Stateless. */
 final class AbsentPlatformStore implements PlatformStore {
 
     @Override
@@ -34,6 +34,6 @@
 
     private static <T> CompletableFuture<T> absent() {
         return CompletableFuture.failedFuture(
-                new PlatformException("no platform store is set; name it in the settings under platform.url"));
+                new PlatformException("no platform store is configured; set platform.url in the settings"));
     }
 }
--- a/src/main/java/io/beryldock/node/AdmissionModule.java
+++ b/src/main/java/io/beryldock/node/AdmissionModule.java
@@ -15,7 +15,7 @@
 import io.beryldock.waiting.WaitingSettings;
 import java.util.random.RandomGenerator;
 
-/** Binds what decides over callers' requests before they start. Its timers run on traffic threads. */
+/** Binds the admission control of callers' requests. Its timers run on traffic threads. */
 final class AdmissionModule extends AbstractModule {
 
     private final LoopTimerService timers;
--- a/src/main/java/io/beryldock/node/ControlLoop.java
+++ b/src/main/java/io/beryldock/node/ControlLoop.java
@@ -13,10 +13,11 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * The one thread that holds a node's control state: view, configuration, tickets. Its timers run on it too.
+ * The single thread that owns a node's control state: membership view, configuration and tickets. Timers of the control
+ * state run on the same thread.
  *
- * <p>Thread safe. Tasks run one at a time in the order in which they came; one that throws is logged; after the close
- * none runs.
+ * <p>Thread safe. Tasks run one at a time, in the order of submission. A task's exception is logged and does not affect
+ * later tasks. No task runs after {@link #close()}.
  */
 public final class ControlLoop implements Executor, AutoCloseable {
 
@@ -24,17 +25,17 @@
     private static final long CLOSE_SECONDS = 5;
 
     private final ScheduledExecutorService executor;
-    private final Runnable end;
+    private final Runnable stopThread;
     private final TimerService timers;
     private volatile boolean closed;
 
-    private ControlLoop(ScheduledExecutorService executor, Runnable end) {
+    private ControlLoop(ScheduledExecutorService executor, Runnable stopThread) {
         this.executor = executor;
-        this.end = end;
+        this.stopThread = stopThread;
         this.timers = ScheduledTimers.on(executor, this::runLogged);
     }
 
-    /** Starts a thread for it. */
+    /** Creates a control loop with a thread of its own. */
     public static ControlLoop start(String node) {
         ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, task -> daemon(task, node));
         thread.setRemoveOnCancelPolicy(true);
@@ -42,10 +43,10 @@
     }
 
     /**
-     * Uses a thread that others use as well and whose owner ends it.
+     * Creates a control loop on a shared thread, which its owner stops.
      *
-     * <p>Where a VM has about one core, a thread of its own would only add wake-ups: each message of a peer and each
-     * answer of the store would be handed over. Nothing that runs on it may block.
+     * <p>On a VM with about one core, a separate thread would only add wake-ups, because each peer message and each
+     * store response would be handed over to it. Tasks on the shared thread must not block.
      */
     public static ControlLoop on(ScheduledExecutorService shared) {
         return new ControlLoop(shared, () -> {});
@@ -57,7 +58,7 @@
         return thread;
     }
 
-    /** Timers whose tasks run on the thread. */
+    /** Timers whose tasks run on the control thread. */
     public TimerService timers() {
         return timers;
     }
@@ -70,17 +71,17 @@
         try {
             executor.execute(() -> runLogged(task));
         } catch (RejectedExecutionException e) {
-            log.atFine().withCause(e).log("a control task came after the stop of its thread");
+            log.atFine().withCause(e).log("a control task was submitted after its thread had stopped");
         }
     }
 
-    /** Runs the task and waits for its end; for start and stop only, never on the thread itself. */
+    /** Runs the task and waits for its completion; for start and stop only, never on the control thread itself. */
     public void run(Runnable task) throws InterruptedException {
-        CompletableFuture<Void> done = CompletableFuture.runAsync(task, executor);
+        CompletableFuture<Void> completion = CompletableFuture.runAsync(task, executor);
         try {
-            done.get(CLOSE_SECONDS, TimeUnit.SECONDS);
+            completion.get(CLOSE_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IllegalStateException("the control thread failed to start or stop a part", e);
+            throw new IllegalStateException("the control thread failed to start or stop a component", e);
         }
     }
 
@@ -98,6 +99,6 @@
     @Override
     public void close() {
         closed = true;
-        end.run();
+        stopThread.run();
     }
 }
--- a/src/main/java/io/beryldock/node/CreditMetrics.java
+++ b/src/main/java/io/beryldock/node/CreditMetrics.java
@@ -10,7 +10,7 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import java.util.function.ToDoubleFunction;
 
-/** The metrics of credits, read when they are scraped. Stateless, thread safe. */
+/** Registers the metrics of credits, whose values are read when they are scraped. Stateless, thread safe. */
 final class CreditMetrics {
 
     private static final String PREFIX = "beryldock_credit_";
@@ -18,20 +18,25 @@
     private CreditMetrics() {}
 
     static void register(PrometheusRegistry registry, CreditNode credits) {
-        rank(
+        rankGauge(
                 registry,
                 credits,
                 "wanted_millis",
                 "slot time that trees here want, by service and rank",
                 RankRow::wanted);
-        rank(registry, credits, "held_millis", "slot time that this entry holds, by service and rank", RankRow::held);
-        rank(registry, credits, "debt_millis", "slot time used before it was granted", RankRow::debt);
-        home(registry, credits, "home_slots", "slots that gates of this data centre can give", HomeRow::slots);
-        home(registry, credits, "home_wanted_slots", "slots that all data centres in touch want", HomeRow::wanted);
-        given(registry, credits);
+        rankGauge(
+                registry,
+                credits,
+                "held_millis",
+                "slot time that this entry holds, by service and rank",
+                RankRow::held);
+        rankGauge(registry, credits, "debt_millis", "slot time used before it was granted", RankRow::debt);
+        homeGauge(registry, credits, "home_slots", "slots that gates of this data centre can give", HomeRow::slots);
+        homeGauge(registry, credits, "home_wanted_slots", "slots that all data centres in touch want", HomeRow::wanted);
+        givenCounter(registry, credits);
     }
 
-    private static void rank(
+    private static void rankGauge(
             PrometheusRegistry registry,
             CreditNode credits,
             String name,
@@ -51,7 +56,7 @@
                 .register(registry);
     }
 
-    private static void home(
+    private static void homeGauge(
             PrometheusRegistry registry,
             CreditNode credits,
             String name,
@@ -67,7 +72,7 @@
                 .register(registry);
     }
 
-    private static void given(PrometheusRegistry registry, CreditNode credits) {
+    private static void givenCounter(PrometheusRegistry registry, CreditNode credits) {
         CounterWithCallback.builder()
                 .name(PREFIX + "home_given_millis_total")
                 .help("slot time given out by this node as a home, by service and rank")
--- a/src/main/java/io/beryldock/node/CreditModule.java
+++ b/src/main/java/io/beryldock/node/CreditModule.java
@@ -19,7 +19,7 @@
 import io.beryldock.peer.PeerTransport;
 import io.beryldock.share.Division;
 
-/** Binds the credits of one node. Their timers run on traffic threads. */
+/** Binds the credit system of one node. Its timers run on traffic threads. */
 final class CreditModule extends AbstractModule {
 
     private final LoopTimerService timers;
@@ -30,7 +30,7 @@
         this.division = division;
     }
 
-    /** The product's own settings have no credits. */
+    /** Credits are off, because the product's own settings do not contain them. */
     @Provides
     @Singleton
     CreditSettings creditSettings() {
--- a/src/main/java/io/beryldock/node/DirectoryCreditPeers.java
+++ b/src/main/java/io/beryldock/node/DirectoryCreditPeers.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** The nodes of the directory, as homes of services. Thread safe. */
+/** Selects from the directory the home nodes of services for the credit system. Thread safe. */
 final class DirectoryCreditPeers implements CreditPeers {
 
     private final DirectoryHomes homes;
--- a/src/main/java/io/beryldock/node/DirectoryHomes.java
+++ b/src/main/java/io/beryldock/node/DirectoryHomes.java
@@ -17,14 +17,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Supplier;
 
-/** The nodes of the directory, as homes of tasks in their data centres. Thread safe. */
+/** Selects the home node of a task in each data centre from the nodes of the directory. Thread safe. */
 final class DirectoryHomes {
 
     private final NodeDescriptor self;
     private final Supplier<Directory> directory;
     private final PeerTransport transport;
     private final PeerTopic topic;
-    private final PerDirectory<Homes> homes;
+    private final DirectoryCache<Homes> homes;
 
     private DirectoryHomes(
             NodeDescriptor self, Supplier<Directory> directory, PeerTransport transport, PeerTopic topic) {
@@ -32,16 +32,16 @@
         this.directory = directory;
         this.transport = transport;
         this.topic = topic;
-        this.homes = new PerDirectory<>(directory, known -> new Homes(known, self));
+        this.homes = new DirectoryCache<>(directory, known -> new Homes(known, self));
     }
 
-    /** Homes that are asked on the topic. */
+    /** Creates a selector whose requests to home nodes are sent on the topic. */
     static DirectoryHomes create(
             NodeDescriptor self, Supplier<Directory> directory, PeerTransport transport, PeerTopic topic) {
         return new DirectoryHomes(self, directory, transport, topic);
     }
 
-    /** The homes by one directory, each worked out when it is first asked for. */
+    /** The home nodes according to one directory, computed on first use. */
     private static final class Homes {
         private final DataCentre own;
         private final ImmutableListMultimap<DataCentre, NodeId> byCentre;
@@ -81,28 +81,28 @@
         return directory.get();
     }
 
-    /** Nodes of this data centre that may be the home of the task, the first choice first; never empty. */
+    /** The nodes of this data centre in order of preference as the home of the task; never empty. */
     ImmutableList<NodeId> here(String task) {
         return homes.get().here(task);
     }
 
-    /** The first choice of each other data centre. */
+    /** The preferred home of the task in each of the other data centres. */
     ImmutableList<NodeId> elsewhere(String task) {
         return homes.get().elsewhere(task);
     }
 
-    /** How many nodes there are in all data centres. */
+    /** The number of nodes in all data centres. */
     int nodes() {
         return homes.get().byCentre.size();
     }
 
-    /** Asks the node; the future fails when no answer comes within the limit. */
+    /** Sends a request to the node; the future fails if no response arrives within the limit. */
     CompletableFuture<ByteString> ask(NodeId node, ByteString question, Duration limit) {
         return directory
                 .get()
                 .node(node)
                 .map(known -> transport.request(known.peerAddress(), topic, question, limit))
                 .orElseGet(() -> CompletableFuture.failedFuture(new PeerException(
-                        PeerException.Kind.NOT_SENT, "node " + node + " is not in the directory any more")));
+                        PeerException.Kind.NOT_SENT, "node " + node + " is no longer in the directory")));
     }
 }
--- a/src/main/java/io/beryldock/node/DirectoryPeers.java
+++ b/src/main/java/io/beryldock/node/DirectoryPeers.java
@@ -17,23 +17,23 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
-/** The nodes of the directory, as those that tell each other of the store. Thread safe. */
+/** Selects from the directory the peers with which this node shares the contents of the store. Thread safe. */
 public final class DirectoryPeers implements StorePeers {
 
-    /** Longest wait for an answer: it comes before the next question, which is a second later. */
-    private static final Duration ANSWER_LIMIT = Duration.ofMillis(800);
+    /** Request time-out; shorter than the interval of one second between two requests. */
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(800);
 
     private final Supplier<Directory> directory;
     private final PeerTransport transport;
     private final RandomGenerator random;
-    private final PerDirectory<Split> split;
+    private final DirectoryCache<Split> split;
 
     private DirectoryPeers(
             NodeDescriptor self, Supplier<Directory> directory, PeerTransport transport, RandomGenerator random) {
         this.directory = directory;
         this.transport = transport;
         this.random = random;
-        this.split = new PerDirectory<>(directory, known -> Split.of(known, self));
+        this.split = new DirectoryCache<>(directory, known -> Split.of(known, self));
     }
 
     public static DirectoryPeers create(
@@ -41,7 +41,7 @@
         return new DirectoryPeers(self, directory, transport, random);
     }
 
-    /** The nodes of one directory, by whether they are in this data centre. Immutable. */
+    /** The nodes of one directory, divided into those of this data centre and the others. Immutable. */
     private record Split(ImmutableSet<NodeId> own, ImmutableList<NodeId> others) {
 
         static Split of(Directory directory, NodeDescriptor self) {
@@ -75,9 +75,9 @@
         return directory
                 .get()
                 .node(node)
-                .map(known -> transport.request(known.peerAddress(), PeerTopic.STORE, question, ANSWER_LIMIT))
+                .map(known -> transport.request(known.peerAddress(), PeerTopic.STORE, question, REQUEST_TIMEOUT))
                 .orElseGet(() -> CompletableFuture.failedFuture(
-                        new PlatformException("node " + node + " is not in the directory any more")));
+                        new PlatformException("node " + node + " is no longer in the directory")));
     }
 
     @Override
--- a/src/main/java/io/beryldock/node/DirectoryQuotaPeers.java
+++ b/src/main/java/io/beryldock/node/DirectoryQuotaPeers.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** The nodes of the directory, as homes of quotas. Thread safe. */
+/** Selects from the directory the home nodes of organisations for the quota system. Thread safe. */
 public final class DirectoryQuotaPeers implements QuotaPeers {
 
     private final DirectoryHomes homes;
--- a/src/main/java/io/beryldock/node/DrainControl.java
+++ b/src/main/java/io/beryldock/node/DrainControl.java
@@ -4,7 +4,10 @@
 import io.beryldock.forwarding.AnnouncedTarget;
 import java.util.Optional;
 
-/** Drains the target in this VM when an operator says so. Thread safe: the work is done on the control thread. */
+/**
+ * Drains and undrains the target in this VM on an operator's command. Thread safe: changes are made on the control
+ * thread.
+ */
 final class DrainControl implements LocalTarget {
 
     private final TargetAnnouncements announcements;
--- a/src/main/java/io/beryldock/node/KeyedModule.java
+++ b/src/main/java/io/beryldock/node/KeyedModule.java
@@ -23,12 +23,12 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** Binds what makes keyed requests run at most once. */
+/** Binds the components that run requests with an idempotency key at most once. */
 final class KeyedModule extends AbstractModule {
 
     @Override
     protected void configure() {
-        bind(DispatcherSlot.class).toInstance(new DispatcherSlot());
+        bind(DeferredDispatcher.class).toInstance(new DeferredDispatcher());
     }
 
     @Provides
@@ -36,7 +36,7 @@
     KeyedRequests keyedRequests(
             NodeDescriptor self,
             Membership membership,
-            DispatcherSlot dispatcher,
+            DeferredDispatcher dispatcher,
             PeerTransport transport,
             PlatformStore store,
             TimerService timers,
--- a/src/main/java/io/beryldock/node/NodeLedgers.java
+++ b/src/main/java/io/beryldock/node/LedgerTables.java
@@ -5,8 +5,8 @@
 import io.beryldock.forwarding.RetryTally;
 import io.beryldock.quarantine.Quarantine;
 
-/** Shows operators the node's records of retries and quarantine. Thread safe. */
-record NodeLedgers(RetryTally retryTally, Quarantine quarantineTable) {
+/** Builds the operators' tables of retries and quarantined requests. Thread safe. */
+record LedgerTables(RetryTally retryTally, Quarantine quarantineTable) {
 
     QueryTable retries() {
         QueryTable.Builder table = QueryTable.builder(ShowColumns.RETRIES);
--- a/src/main/java/io/beryldock/node/NodeCore.java
+++ b/src/main/java/io/beryldock/node/NodeCore.java
@@ -34,9 +34,9 @@
 import java.util.function.Function;
 
 /**
- * The parts of a node without its listeners: control thread, peers, decisions and the request path.
+ * The components of a node except its HTTP listeners: control thread, peer transport, decisions and request path.
  *
- * <p>Thread safe; stopped or closed once.
+ * <p>Thread safe; may be stopped or closed once.
  */
 public final class NodeCore implements AutoCloseable {
 
@@ -63,11 +63,11 @@
     }
 
     /**
-     * Binds the peers' listener and joins the parts; nothing is asked of others yet.
+     * Binds the peer listener and assembles the components; no requests are sent to other nodes yet.
      *
-     * @param control holds the control state; closed with the node
-     * @param store makes the client of the platform's store with the timers of traffic
-     * @param overrides takes the place of parts that the surroundings bring
+     * @param control owns the control state; closed with the node
+     * @param store creates the client of the platform's store, given the timers of the traffic threads
+     * @param overrides bindings that replace the default ones
      */
     public static NodeCore assemble(
             NodeSettings settings,
@@ -91,14 +91,14 @@
                 incarnation,
                 DataCentre.of(settings.dataCentre()),
                 advertised(settings.peers(), transport.localAddress()));
-        Module usual = Modules.combine(
+        Module defaults = Modules.combine(
                 new NodeModule(settings, self, control, transport, events, store.apply(trafficTimers)),
                 new KeyedModule(),
                 new OperatorModule(),
                 new CreditModule(trafficTimers, FairDivision.create()),
                 new AdmissionModule(trafficTimers),
                 new TrafficModule(shared, trafficTimers));
-        Injector injector = Guice.createInjector(Modules.override(usual).with(overrides));
+        Injector injector = Guice.createInjector(Modules.override(defaults).with(overrides));
         injector.getInstance(TargetExecutor.class);
         return new NodeCore(settings, control, transport, events, injector);
     }
@@ -141,14 +141,17 @@
         return transport;
     }
 
-    /** Starts what runs on the control thread; called there. */
+    /** Starts the components of the control thread; must be called on that thread. */
     public void startControl() {
         injector.getInstance(Membership.class).start();
         injector.getInstance(NodeFailureWatch.class).start();
-        injector.getInstance(QuarantineSpreader.class).start(injector.getInstance(TimerService.class));
+        injector.getInstance(QuarantineGossip.class).start(injector.getInstance(TimerService.class));
     }
 
-    /** Stops without cutting off a request: drains, finishes what is in flight, hands the tickets over, leaves. */
+    /**
+     * Stops the node gracefully: drains the target, completes the requests in flight, hands the tickets over to a peer
+     * and leaves the membership.
+     */
     public void stop() throws InterruptedException {
         new PlannedStop(new PlannedStop.Parts(
                         control,
@@ -165,7 +168,7 @@
         drainPeers();
     }
 
-    /** Peers finish what they have under way here and close their connections. */
+    /** Waits until the peers have completed their requests to this node and closed their connections. */
     private void drainPeers() throws InterruptedException {
         try {
             transport.drain().get(PEER_DRAIN_SECONDS, TimeUnit.SECONDS);
@@ -174,7 +177,7 @@
         }
     }
 
-    /** Stops at once: what is in flight is cut off, as in a crash. */
+    /** Stops immediately; requests in flight are aborted, as in a crash. */
     @Override
     public void close() {
         transport.close();
--- a/src/main/java/io/beryldock/node/NodeFailureWatch.java
+++ b/src/main/java/io/beryldock/node/NodeFailureWatch.java
@@ -8,9 +8,10 @@
 import io.beryldock.quarantine.Quarantine;
 
 /**
- * Tells the quarantine which nodes have gone from the view, so that it confirms what it suspects of their loss.
+ * Notifies the quarantine of nodes that have left the membership view, so that it confirms the requests suspected of
+ * having crashed them.
  *
- * <p>Called on the control thread only.
+ * <p>Used on the control thread only.
  */
 final class NodeFailureWatch {
 
@@ -24,10 +25,10 @@
     }
 
     void start() {
-        membership.onChange(this::compare);
+        membership.onChange(this::onDirectoryChange);
     }
 
-    private void compare(Directory directory) {
+    private void onDirectoryChange(Directory directory) {
         ImmutableMap<NodeId, NodeDescriptor> now = directory.nodes();
         known.values().stream().filter(node -> !node.equals(now.get(node.id()))).forEach(quarantine::onNodeFailed);
         known = now;
--- a/src/main/java/io/beryldock/node/NodeHealth.java
+++ b/src/main/java/io/beryldock/node/NodeHealth.java
@@ -2,12 +2,12 @@
 
 import com.codahale.metrics.health.HealthCheck;
 
-/** Tells callers' load balancers whether to send requests here. Thread safe. */
+/** Health check that shows load balancers whether this node accepts requests. Thread safe. */
 public final class NodeHealth extends HealthCheck {
 
     private volatile boolean stopping;
 
-    void stopping() {
+    void markStopping() {
         stopping = true;
     }
 
--- a/src/main/java/io/beryldock/node/NodeInspection.java
+++ b/src/main/java/io/beryldock/node/NodeInspection.java
@@ -22,9 +22,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Shows operators what this node knows.
+ * Answers operators' show statements about this node.
  *
- * <p>Thread safe: parts that belong to the control thread are asked there.
+ * <p>Thread safe: state that the control thread owns is read on that thread.
  */
 final class NodeInspection implements NodeInspector {
 
@@ -36,7 +36,7 @@
         this.startNanos = parts.ticker().nanos();
     }
 
-    /** The parts that are shown. */
+    /** The components whose state is shown. */
     record Parts(
             NodeDescriptor self,
             ControlLoop control,
@@ -45,7 +45,7 @@
             DoorShedder door,
             KeyedRequests keyed,
             NettyPeerTransport transport,
-            NodeLedgers ledgers,
+            LedgerTables ledgers,
             Ticker ticker) {}
 
     @Override
@@ -63,7 +63,7 @@
             case CONNECTIONS -> connections();
             case QUARANTINE -> parts.ledgers().quarantine();
             case TIMELINE, SHED, CONFIGURATION, CHANGES ->
-                throw new IllegalArgumentException(statement.topic() + " has a source of its own");
+                throw new IllegalArgumentException(statement.topic() + " is not answered by the node inspection");
         };
     }
 
@@ -79,7 +79,7 @@
                 target.service().value(),
                 parts.self().id().value(),
                 parts.self().dataCentre().value(),
-                parts.announcements().stateWord(),
+                parts.announcements().stateName(),
                 parts.announcements().slots(),
                 gate.limit(),
                 gate.inFlight(),
--- a/src/main/java/io/beryldock/node/NodeMetrics.java
+++ b/src/main/java/io/beryldock/node/NodeMetrics.java
@@ -20,10 +20,10 @@
 import java.util.stream.Collectors;
 
 /**
- * The metrics of a node, read from its parts when they are scraped.
+ * The metrics of a node, read from its components when they are scraped.
  *
- * <p>Thread safe. Labels are bounded: classes and services of the configuration, outcomes, reasons. docs/METRICS.md
- * says what to do when one is bad.
+ * <p>Thread safe. The values of labels are bounded: classes and services of the configuration, outcomes, reasons.
+ * docs/METRICS.md explains how to react to unhealthy values.
  */
 final class NodeMetrics {
 
@@ -35,7 +35,7 @@
         registerRequests(parts.tally(), parts.joining());
         registerRetries(parts.retries(), parts.ledger());
         registerTarget(parts.announcements());
-        registerChoice(parts.chooser());
+        registerChooser(parts.chooser());
         registerPeers(parts.transport());
         CreditMetrics.register(registry, parts.credits());
         WaitingMetrics.register(registry, parts.waiting()::snapshot);
@@ -43,7 +43,7 @@
         gauge("known_nodes", "nodes in this node's view", parts.knownNodes());
     }
 
-    /** The parts that are measured. */
+    /** The components whose metrics are read. */
     record Parts(
             RequestTally tally,
             JoiningRequestHandler joining,
@@ -103,15 +103,15 @@
     }
 
     private void registerTarget(TargetAnnouncements announcements) {
-        gate(announcements, "target_limit", "requests that the target may run at once", GateSnapshot::limit);
-        gate(announcements, "target_in_flight", "requests that the target runs", GateSnapshot::inFlight);
-        gate(announcements, "target_queued", "requests that wait for the target", GateSnapshot::queued);
-        gate(announcements, "target_level", "admission level, 0 to 1024", GateSnapshot::level);
+        gateGauge(announcements, "target_limit", "requests that the target may run at once", GateSnapshot::limit);
+        gateGauge(announcements, "target_in_flight", "requests that the target runs", GateSnapshot::inFlight);
+        gateGauge(announcements, "target_queued", "requests that wait for the target", GateSnapshot::queued);
+        gateGauge(announcements, "target_level", "admission level, 0 to 1024", GateSnapshot::level);
     }
 
-    private void registerChoice(TargetChooser chooser) {
-        choice(chooser, "callee_free_slots", "free slots that callees reported of late", TargetHealth::freeSlots);
-        choice(
+    private void registerChooser(TargetChooser chooser) {
+        chooserGauge(chooser, "callee_free_slots", "free slots that callees reported of late", TargetHealth::freeSlots);
+        chooserGauge(
                 chooser,
                 "callee_targets_left_out",
                 "targets that get no calls from this node",
@@ -125,8 +125,8 @@
                 .register(registry);
     }
 
-    /** The sum over the targets of each service that this node calls. */
-    private void choice(TargetChooser chooser, String name, String help, ToDoubleFunction<TargetHealth> value) {
+    /** Registers a gauge with the sum over the targets of each service that this node calls. */
+    private void chooserGauge(TargetChooser chooser, String name, String help, ToDoubleFunction<TargetHealth> value) {
         GaugeWithCallback.builder()
                 .name(PREFIX + name)
                 .help(help)
@@ -138,7 +138,8 @@
                 .register(registry);
     }
 
-    private void gate(
+    /** Registers a gauge of the gate before the target in this VM; 0 while there is no target. */
+    private void gateGauge(
             TargetAnnouncements announcements, String name, String help, ToDoubleFunction<GateSnapshot> value) {
         gauge(
                 name,
@@ -151,21 +152,21 @@
     }
 
     private void registerPeers(NettyPeerTransport transport) {
-        peer(transport, "peer_received_bytes_total", "bytes from other nodes", PeerTransportStats::bytesIn);
-        peer(transport, "peer_sent_bytes_total", "bytes to other nodes", PeerTransportStats::bytesOut);
-        peer(
+        peerCounter(transport, "peer_received_bytes_total", "bytes from other nodes", PeerTransportStats::bytesIn);
+        peerCounter(transport, "peer_sent_bytes_total", "bytes to other nodes", PeerTransportStats::bytesOut);
+        peerCounter(
                 transport,
                 "peer_stalled_connections_total",
                 "connections given up without progress",
                 PeerTransportStats::stalled);
-        peer(
+        peerCounter(
                 transport,
                 "peer_dropped_replies_total",
                 "replies that matched no request",
                 PeerTransportStats::droppedReplies);
     }
 
-    private void peer(
+    private void peerCounter(
             NettyPeerTransport transport, String name, String help, ToDoubleFunction<PeerTransportStats> value) {
         counter(name, help, () -> value.applyAsDouble(transport.stats()));
     }
--- a/src/main/java/io/beryldock/node/NodeModule.java
+++ b/src/main/java/io/beryldock/node/NodeModule.java
@@ -44,10 +44,13 @@
 import java.time.InstantSource;
 import java.util.random.RandomGenerator;
 
-/** Binds the control parts of one node: view, configuration, decisions. The request path is in its own module. */
+/**
+ * Binds the control components of one node: membership view, configuration and decisions. {@link TrafficModule} binds
+ * the request path.
+ */
 final class NodeModule extends AbstractModule {
 
-    private static final int EVENTS_KEPT = 4096;
+    private static final int EVENT_CAPACITY = 4096;
     private static final Duration BACKOFF_BASE = Duration.ofMillis(5);
     private static final Duration BACKOFF_CAP = Duration.ofMillis(100);
 
@@ -80,7 +83,7 @@
                 NodeId.of(settings.id()),
                 DataCentre.of(settings.dataCentre()),
                 HybridLogicalClock.system(),
-                EVENTS_KEPT,
+                EVENT_CAPACITY,
                 randomGenerator());
     }
 
--- a/src/main/java/io/beryldock/node/NodeProcess.java
+++ b/src/main/java/io/beryldock/node/NodeProcess.java
@@ -26,7 +26,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Starts nodes. Stateless. */
+/** Starts nodes with the product's own settings. Stateless. */
 public final class NodeProcess {
 
     private static final Duration STORE_TIMEOUT = Duration.ofSeconds(1);
@@ -35,15 +35,15 @@
 
     private NodeProcess() {}
 
-    /** Starts a node with threads of its own. */
+    /** Starts a node with its own threads. */
     public static RunningNode start(NodeSettings settings)
             throws SettingsException, PeerStartException, ServerStartException, InterruptedException {
         SharedResources shared =
                 SharedResources.start(OWN_IO_THREADS, settings.limits().connectionsToTarget());
-        return start(settings, shared).owning(shared);
+        return start(settings, shared).withOwned(shared);
     }
 
-    /** Starts a node on shared threads, as the demo does with dozens of nodes in one process. */
+    /** Starts a node on shared threads; the demo runs dozens of nodes in one process this way. */
     public static RunningNode start(NodeSettings settings, SharedResources shared)
             throws SettingsException, PeerStartException, ServerStartException, InterruptedException {
         NodeCore core = NodeCore.assemble(
--- a/src/main/java/io/beryldock/node/OperatorModule.java
+++ b/src/main/java/io/beryldock/node/OperatorModule.java
@@ -31,7 +31,7 @@
 import java.util.function.Function;
 import java.util.random.RandomGenerator;
 
-/** Binds what operators see and do. */
+/** Binds the operator interface of one node: inspection, metrics and commands. */
 final class OperatorModule extends AbstractModule {
 
     @Provides
@@ -44,7 +44,7 @@
             DoorShedder door,
             KeyedRequests keyed,
             NettyPeerTransport transport,
-            NodeLedgers ledgers,
+            LedgerTables ledgers,
             TimerService timers) {
         return new NodeInspection(new NodeInspection.Parts(
                 self, control, membership, announcements, door, keyed, transport, ledgers, timers.ticker()));
@@ -58,16 +58,15 @@
 
     @Provides
     @Singleton
-    QuarantineSpreader quarantineSpreader(
+    QuarantineGossip quarantineGossip(
             Quarantine quarantine,
             Membership membership,
             NodeDescriptor self,
             PeerTransport transport,
             RandomGenerator random) {
-        QuarantineSpreader spreader =
-                new QuarantineSpreader(quarantine, membership::directory, self, transport, random);
-        transport.handle(PeerTopic.QUARANTINE, spreader);
-        return spreader;
+        QuarantineGossip gossip = new QuarantineGossip(quarantine, membership::directory, self, transport, random);
+        transport.handle(PeerTopic.QUARANTINE, gossip);
+        return gossip;
     }
 
     @Provides
@@ -106,8 +105,8 @@
 
     @Provides
     @Singleton
-    NodeLedgers ledgers(RetryTally retries, Quarantine quarantine) {
-        return new NodeLedgers(retries, quarantine);
+    LedgerTables ledgers(RetryTally retries, Quarantine quarantine) {
+        return new LedgerTables(retries, quarantine);
     }
 
     @Provides
--- a/src/main/java/io/beryldock/node/PlannedStop.java
+++ b/src/main/java/io/beryldock/node/PlannedStop.java
@@ -17,22 +17,31 @@
 import java.util.function.Supplier;
 
 /**
- * Stops a node without cutting off a request.
+ * Stops a node gracefully, without aborting requests.
  *
- * <p>In this order: the target takes no new work, here at once and elsewhere as the view spreads; callers are told to
- * go elsewhere, and for a grace still served; what is in flight finishes, bounded; the tickets go to a peer; the node
- * leaves the view. Called once, on a thread of its own.
+ * <p>The steps, in this order:
+ *
+ * <ol>
+ *   <li>The target is drained: this node immediately refuses new work for it, other nodes do so once the membership
+ *       view has reached them.
+ *   <li>The health check reports the node as stopping; callers are still served for a grace period.
+ *   <li>New requests are refused, and the node waits for requests in flight, for a limited time.
+ *   <li>The tickets are handed over to a peer.
+ *   <li>The node leaves the membership.
+ * </ol>
+ *
+ * <p>Called once, on a separate thread.
  */
 final class PlannedStop {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
-    /** Time for the news of the drain to reach every node of every data centre. */
-    private static final Duration GRACE = Duration.ofSeconds(3);
+    /** Time for the drain to propagate to every node in every data centre. */
+    private static final Duration DRAIN_PROPAGATION = Duration.ofSeconds(3);
 
-    private static final Duration TRANSFER_LIMIT = Duration.ofSeconds(5);
-    private static final Duration LEAVE_LIMIT = Duration.ofSeconds(3);
-    private static final Duration POLL = Duration.ofMillis(20);
+    private static final Duration TRANSFER_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration LEAVE_TIMEOUT = Duration.ofSeconds(3);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
     private final Parts parts;
 
@@ -40,7 +49,7 @@
         this.parts = parts;
     }
 
-    /** What takes part in a stop. */
+    /** The components involved in a stop. */
     record Parts(
             ControlLoop control,
             TargetAnnouncements announcements,
@@ -53,29 +62,29 @@
             EventSink events,
             Duration drainLimit) {}
 
-    /** Returns when nothing is in flight, or the limit is over. */
+    /** Runs all steps. Requests that are still in flight after the drain limit are logged and no longer waited for. */
     void run() throws InterruptedException {
         parts.events().record(EventKind.NODE_STOPPING, "node", "no new work; what is in flight finishes");
-        parts.health().stopping();
+        parts.health().markStopping();
         parts.control().run(parts.announcements()::drain);
-        Thread.sleep(GRACE.toMillis());
+        Thread.sleep(DRAIN_PROPAGATION.toMillis());
         parts.entry().refuseNew();
         awaitIdle();
-        await("tickets", this::handOver, parts.drainLimit().plus(TRANSFER_LIMIT));
-        await("leave", parts.membership()::leave, LEAVE_LIMIT);
+        await("tickets", this::handOver, parts.drainLimit().plus(TRANSFER_TIMEOUT));
+        await("leave", parts.membership()::leave, LEAVE_TIMEOUT);
     }
 
     private CompletableFuture<Integer> handOver() {
-        return parts.keyed().handover().stop(parts.drainLimit(), TRANSFER_LIMIT);
+        return parts.keyed().handover().stop(parts.drainLimit(), TRANSFER_TIMEOUT);
     }
 
     private void awaitIdle() throws InterruptedException {
         long deadline = parts.ticker().nanos() + parts.drainLimit().toNanos();
         while (inFlight() > 0 && parts.ticker().nanos() < deadline) {
-            Thread.sleep(POLL.toMillis());
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
         if (inFlight() > 0) {
-            log.atWarning().log("%d requests were in flight when limits.drainSeconds was over", inFlight());
+            log.atWarning().log("%d requests were still in flight after limits.drainSeconds", inFlight());
         }
     }
 
@@ -88,14 +97,14 @@
         return atTarget + parts.tally().inFlight();
     }
 
-    private <T> void await(String what, Supplier<CompletableFuture<T>> step, Duration limit)
+    private <T> void await(String name, Supplier<CompletableFuture<T>> step, Duration limit)
             throws InterruptedException {
         CompletableFuture<T> started =
                 CompletableFuture.supplyAsync(step, parts.control()).thenCompose(future -> future);
         try {
             started.get(limit.toMillis(), TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            log.atWarning().withCause(e).log("the step '%s' of the planned stop did not end in time", what);
+            log.atWarning().withCause(e).log("step '%s' of the planned stop failed or timed out", name);
         }
     }
 }
--- a/src/main/java/io/beryldock/node/QuarantineSpreader.java
+++ b/src/main/java/io/beryldock/node/QuarantineGossip.java
@@ -21,25 +21,27 @@
 import java.util.stream.Stream;
 
 /**
- * Tells other nodes which requests crash targets.
+ * Propagates the quarantine table, the requests that crash targets, to other nodes by gossip.
  *
- * <p>A crash of this node's target goes at once to the nodes of the service, which may get its requests next. All
- * changes go to a few random nodes, which pass on what is news to them; now and then the whole table goes to one
- * node, in case a message was lost. Nothing is sent while no request is suspected. Its timers run on the
- * control thread; {@link #tell} and {@link #handle} are thread safe.
+ * <p>A crash of this node's target is reported immediately to the nodes of the same service, because they may receive
+ * its requests next. Changes of the table are sent to a few random nodes, which forward the changes that are new to
+ * them. Periodically the whole table is sent to one random node, to make up for lost messages. Nothing is sent while
+ * no request is suspected.
+ *
+ * <p>Timers run on the control thread. Crash reports and received messages may come from any thread.
  */
-final class QuarantineSpreader implements PeerHandler, CrashNews {
+final class QuarantineGossip implements PeerHandler, CrashNews {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final Duration EXPIRY_PERIOD = Duration.ofSeconds(5);
 
-    /** Changes that come together go in one message. */
-    private static final Duration GATHER = Duration.ofMillis(100);
+    /** Delay that combines changes into one message. */
+    private static final Duration BATCH_DELAY = Duration.ofMillis(100);
 
-    private static final Duration WHOLE_PERIOD = Duration.ofSeconds(10);
+    private static final Duration FULL_SYNC_PERIOD = Duration.ofSeconds(10);
     private static final int FAN_OUT = 6;
-    private static final int MAX_TOLD = 64;
-    private static final Duration LONGEST_TELLING = Duration.ofMillis(300);
+    private static final int MAX_REPORTED_NODES = 64;
+    private static final Duration REPORT_TIMEOUT = Duration.ofMillis(300);
 
     private final Quarantine quarantine;
     private final Supplier<Directory> directory;
@@ -47,7 +49,7 @@
     private final PeerTransport transport;
     private final RandomGenerator random;
 
-    QuarantineSpreader(
+    QuarantineGossip(
             Quarantine quarantine,
             Supplier<Directory> directory,
             NodeDescriptor self,
@@ -62,36 +64,36 @@
 
     void start(TimerService timers) {
         timers.every(EXPIRY_PERIOD, quarantine::expire);
-        quarantine.onFirstChange(() -> spreadSoon(timers));
-        spreadSoon(timers);
-        timers.every(WHOLE_PERIOD, () -> send(quarantine.export(), 1));
+        quarantine.onFirstChange(() -> scheduleChanges(timers));
+        scheduleChanges(timers);
+        timers.every(FULL_SYNC_PERIOD, () -> send(quarantine.export(), 1));
     }
 
-    private void spreadSoon(TimerService timers) {
-        timers.after(GATHER, () -> send(quarantine.takeChanges(), FAN_OUT));
+    private void scheduleChanges(TimerService timers) {
+        timers.after(BATCH_DELAY, () -> send(quarantine.takeChanges(), FAN_OUT));
     }
 
     @Override
-    public CompletableFuture<Void> tell(ServiceName service, QuarantineDelta news) {
-        ByteString body = news.toByteString();
-        Directory known = directory.get();
-        Stream<NodeDescriptor> ofService = known.targetsOf(service).stream().map(TargetRecord::node);
-        // The others too as far as there is room: a target that has just announced itself is not known everywhere.
-        return CompletableFuture.allOf(Stream.concat(ofService, known.nodes().values().stream())
+    public CompletableFuture<Void> tell(ServiceName service, QuarantineDelta delta) {
+        ByteString body = delta.toByteString();
+        Directory current = directory.get();
+        Stream<NodeDescriptor> ofService = current.targetsOf(service).stream().map(TargetRecord::node);
+        // Other nodes are included up to the limit, because a newly announced target is not known everywhere yet.
+        return CompletableFuture.allOf(Stream.concat(ofService, current.nodes().values().stream())
                 .distinct()
                 .filter(node -> !node.equals(self))
-                .limit(MAX_TOLD)
-                .map(node -> tell(node, body))
+                .limit(MAX_REPORTED_NODES)
+                .map(node -> report(node, body))
                 .toArray(CompletableFuture[]::new));
     }
 
-    private CompletableFuture<Void> tell(NodeDescriptor node, ByteString news) {
+    private CompletableFuture<Void> report(NodeDescriptor node, ByteString body) {
         return transport
-                .request(node.peerAddress(), PeerTopic.QUARANTINE, news, LONGEST_TELLING)
+                .request(node.peerAddress(), PeerTopic.QUARANTINE, body, REPORT_TIMEOUT)
                 .handle((reply, failure) -> {
                     if (failure != null) {
                         log.atInfo().withCause(failure).log(
-                                "node %s was not told of a crash; the news reach it later", node.id());
+                                "the crash report to node %s failed; gossip will deliver it later", node.id());
                     }
                     return null;
                 });
--- a/src/main/java/io/beryldock/node/RunningNode.java
+++ b/src/main/java/io/beryldock/node/RunningNode.java
@@ -13,7 +13,7 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/** A node that runs. Thread safe; closed once. */
+/** A running node. Thread safe; may be closed once. */
 public final class RunningNode implements AutoCloseable {
 
     private final NodeCore core;
@@ -26,8 +26,8 @@
         this.owned = owned;
     }
 
-    /** The same node, which closes these threads with itself. */
-    RunningNode owning(SharedResources shared) {
+    /** Returns the same node, as the owner of the shared resources, which it closes with itself. */
+    RunningNode withOwned(SharedResources shared) {
         return new RunningNode(core, http, Optional.of(shared));
     }
 
@@ -47,12 +47,12 @@
         return core.transport().localAddress();
     }
 
-    /** Counts of root requests that entered here. */
+    /** Counts of the root requests that entered at this node. */
     public RequestTally tally() {
         return core.injector().getInstance(RequestTally.class);
     }
 
-    /** The retry ledger, with its count of broken invariants. */
+    /** The retry ledger, which counts violated invariants. */
     public RetryLedger ledger() {
         return core.injector().getInstance(RetryLedger.class);
     }
@@ -61,29 +61,32 @@
         return core.injector().getInstance(EventRing.class);
     }
 
-    /** How the target in this VM stands: none, starting, ready, leaving or drained. */
+    /** The state of the target in this VM: none, starting, ready, leaving or drained. */
     public String targetState() {
-        return core.injector().getInstance(TargetAnnouncements.class).stateWord();
+        return core.injector().getInstance(TargetAnnouncements.class).stateName();
     }
 
-    /** How many targets of the service this node knows, in whatever state. */
+    /** The number of targets of the service that this node knows, in any state. */
     public int knownTargets(String service) {
         Directory directory = core.injector().getInstance(Membership.class).directory();
         return directory.targetsOf(ServiceName.of(service)).size();
     }
 
-    /** Calls that the target runs now. */
+    /** The number of calls that the target is running. */
     public int running() {
         return core.injector().getInstance(ExecutionRegistry.class).size();
     }
 
-    /** Stops without cutting off a request: drains, finishes what is in flight, hands the tickets over, leaves. */
+    /**
+     * Stops the node gracefully: drains the target, completes the requests in flight, hands the tickets over to a peer
+     * and leaves the membership.
+     */
     public void stop() throws InterruptedException {
         core.stop();
         close();
     }
 
-    /** Stops at once: what is in flight is cut off, as in a crash. */
+    /** Stops immediately; requests in flight are aborted, as in a crash. */
     @Override
     public void close() {
         http.close();
@@ -93,12 +96,13 @@
         owned.ifPresent(SharedResources::close);
     }
 
-    private void close(Class<?> part) {
-        if (core.injector().getInstance(part) instanceof AutoCloseable closeable) {
+    private void close(Class<?> type) {
+        if (core.injector().getInstance(type) instanceof AutoCloseable closeable) {
             try {
                 closeable.close();
             } catch (Exception e) {
-                throw new IllegalStateException("the node's part can't be closed: " + part.getSimpleName(), e);
+                throw new IllegalStateException(
+                        "a component of the node could not be closed: " + type.getSimpleName(), e);
             }
         }
     }
--- a/src/main/java/io/beryldock/node/SharedResources.java
+++ b/src/main/java/io/beryldock/node/SharedResources.java
@@ -7,25 +7,25 @@
 import org.apache.hc.client5.http.impl.async.CloseableHttpAsyncClient;
 
 /**
- * Threads that the nodes of one process share: one node in a VM, dozens in the demo. Thread safe.
+ * Threads and clients that the nodes of one process share: one node in a VM, dozens in the demo. Thread safe.
  *
- * @param traffic threads of connections and of the timers of requests
- * @param targetClient the client towards targets, empty where the nodes bring their own
+ * @param traffic event loops for connections and for the timers of requests
+ * @param targetClient HTTP client for targets; empty if the nodes have their own
  */
 public record SharedResources(EventLoops traffic, Optional<CloseableHttpAsyncClient> targetClient)
         implements AutoCloseable {
 
     /**
-     * Starts the threads.
+     * Starts the threads and the client for targets.
      *
-     * @param ioThreads threads each for peers, targets and timers
-     * @param connectionsToTarget most connections to one target
+     * @param ioThreads number of threads of the event loops, and of the client for targets
+     * @param connectionsToTarget maximum number of connections to one target
      */
     public static SharedResources start(int ioThreads, int connectionsToTarget) {
         return start(ioThreads, Optional.of(HttpClients.start(connectionsToTarget, ioThreads)));
     }
 
-    /** Starts the threads without a client towards targets. */
+    /** Starts the threads without a client for targets. */
     public static SharedResources startWithoutTargetClient(int ioThreads) {
         return start(ioThreads, Optional.empty());
     }
@@ -42,7 +42,7 @@
                 targetClient.get().close();
             }
         } catch (IOException e) {
-            throw new IllegalStateException("the client towards targets can't be closed", e);
+            throw new IllegalStateException("the HTTP client for targets could not be closed", e);
         }
     }
 }
--- a/src/main/java/io/beryldock/node/TargetAnnouncements.java
+++ b/src/main/java/io/beryldock/node/TargetAnnouncements.java
@@ -16,10 +16,11 @@
 import java.util.Optional;
 
 /**
- * The announcements of the target in this VM and the gate that follows them.
+ * Applies the announcements of the target in this VM to the target's gate and to the membership.
  *
- * <p>Called on the control thread only, but for {@link #current()} and {@link #drained()}, which are thread safe. A
- * target that no longer announces itself is withdrawn; one that a drain holds back stays LEAVING whatever it announces.
+ * <p>Used on the control thread only, except {@link #current()} and {@link #drained()}, which are thread safe. A target
+ * that no longer announces itself is withdrawn from the membership. A drained target stays LEAVING, whatever state it
+ * announces.
  */
 public final class TargetAnnouncements {
 
@@ -52,13 +53,13 @@
         this.events = events;
     }
 
-    /** Makes the gate of a target. */
+    /** Creates the gate of a target. */
     @FunctionalInterface
     interface GateFactory {
         TargetGate create(ServiceName service, GateSettings settings);
     }
 
-    /** The target as it announced itself last, with its gate; empty when none does. */
+    /** The target according to its last announcement, with its gate; empty if no target announces itself. */
     public Optional<AnnouncedTarget> current() {
         return current;
     }
@@ -67,8 +68,8 @@
         return drained;
     }
 
-    /** How the target stands, in a word for operators. */
-    String stateWord() {
+    /** The state of the target, as operators' tables name it. */
+    String stateName() {
         if (drained) {
             return "drained";
         }
@@ -76,7 +77,7 @@
                 .orElse("none");
     }
 
-    /** Slots that the target announced; 0 when none does. */
+    /** The number of slots that the target announced; 0 if no target announces itself. */
     int slots() {
         return last.map(Announcement::slots).orElse(0);
     }
@@ -99,7 +100,10 @@
                 announcement.state() + " with " + announcement.slots() + " slots at " + announcement.address());
     }
 
-    /** The membership withdraws a target whose announcement is not renewed, so an unchanged one is passed on too. */
+    /**
+     * Renews the announcement in the membership, also if it is unchanged, because the membership withdraws a target
+     * whose announcement is not renewed.
+     */
     private void renew(Announcement announcement) {
         membership.announce(ServiceName.of(announcement.service()), announcement.slots(), stateOf(announcement));
     }
@@ -109,12 +113,12 @@
     }
 
     /**
-     * The target was started anew and knows nothing of before: its gate begins anew too.
+     * Discards the gate after a restart of the target; the next announcement creates a new one.
      *
-     * <p>What waits is refused at once, so that its callers go elsewhere. Kept, the gate would count the calls that the
-     * earlier start lost among those in flight and admit less than the target can run.
+     * <p>Queued requests are refused immediately, so that their callers can use another target. A gate that was kept
+     * would count the calls lost in the restart as in flight, and admit fewer calls than the target can run.
      */
-    public void restarted() {
+    public void onTargetRestart() {
         current.ifPresent(target -> target.gate().drain());
         current = Optional.empty();
         last = Optional.empty();
@@ -122,10 +126,10 @@
 
     private TargetGate gateFor(ServiceName service, int slots) {
         GateSettings settings = boundBySlots ? gateSettings.withAnnouncedSlots(slots) : gateSettings;
-        Optional<TargetGate> kept =
+        Optional<TargetGate> existing =
                 current.filter(target -> target.service().equals(service)).map(AnnouncedTarget::gate);
-        kept.ifPresent(gate -> gate.reconfigure(settings));
-        return kept.orElseGet(() -> gates.create(service, settings));
+        existing.ifPresent(gate -> gate.reconfigure(settings));
+        return existing.orElseGet(() -> gates.create(service, settings));
     }
 
     private void apply(Announcement announcement, TargetGate gate) {
@@ -145,7 +149,7 @@
         membership.withdraw();
     }
 
-    /** Stops new work at the target, at this node at once and elsewhere as the view spreads. */
+    /** Refuses new work for the target, immediately at this node and elsewhere once the membership view has spread. */
     void drain() {
         drained = true;
         events.record(EventKind.DRAIN_STARTED, serviceName(), "no new work");
--- a/src/main/java/io/beryldock/node/TrafficModule.java
+++ b/src/main/java/io/beryldock/node/TrafficModule.java
@@ -63,10 +63,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 
-/** Binds the request path of one node: entry, attempts, target. Its timers run on traffic threads. */
+/** Binds the request path of one node: entry, forwarding and execution. Its timers run on traffic threads. */
 final class TrafficModule extends AbstractModule {
 
-    /** Periods in which a caller's hash stays the same; a clock that is off moves one node's edge, no more. */
+    /**
+     * Length of the epochs in which a caller's hash is constant. An inaccurate clock only shifts the epoch boundary of
+     * its own node.
+     */
     private static final long EPOCH_MILLIS = TimeUnit.MINUTES.toMillis(10);
 
     private static final int BASELINE_QUEUE = 100_000;
@@ -94,7 +97,7 @@
         return settings.policy() == Policy.NONE ? baseline(settings) : GateSettings.defaults();
     }
 
-    /** What users have today: the target takes as many requests as there are connections to it. */
+    /** Baseline without admission control: the target runs as many requests as there are connections to it. */
     private static GateSettings baseline(NodeSettings settings) {
         int limit = settings.limits().connectionsToTarget();
         return new GateSettings(
@@ -112,7 +115,7 @@
                 BASELINE_WAIT);
     }
 
-    /** The gate decides on traffic threads, what the target announces on the control thread. */
+    /** Gates decide on traffic threads; announcements are handled on the control thread. */
     @Provides
     @Singleton
     TargetAnnouncements announcements(
@@ -148,8 +151,8 @@
     @Provides
     @Singleton
     TargetCrashDetector crashDetector(
-            TargetLives lives, Quarantine quarantine, QuarantineSpreader news, EventSink events) {
-        return TargetCrashDetector.create(lives, quarantine, news, timers, events);
+            TargetLives lives, Quarantine quarantine, QuarantineGossip gossip, EventSink events) {
+        return TargetCrashDetector.create(lives, quarantine, gossip, timers, events);
     }
 
     @Provides
@@ -225,8 +228,8 @@
 
     @Provides
     @Singleton
-    KeyedRequestHandler keyed(KeyedRequests requests, HomeDispatcher dispatcher, DispatcherSlot slot) {
-        slot.set(dispatcher);
+    KeyedRequestHandler keyed(KeyedRequests requests, HomeDispatcher dispatcher, DeferredDispatcher deferred) {
+        deferred.set(dispatcher);
         return requests.coordinator()::handle;
     }
 
@@ -262,7 +265,7 @@
         return JoiningRequestHandler.create(entry);
     }
 
-    /** The product's own configuration has no organisations. */
+    /** Access is not restricted, because the product's own configuration has no organisations. */
     @Provides
     @Singleton
     CallerAccess callerAccess() {
--- a/src/main/java/io/beryldock/node/WaitingMetrics.java
+++ b/src/main/java/io/beryldock/node/WaitingMetrics.java
@@ -9,9 +9,9 @@
 import java.util.function.Supplier;
 
 /**
- * The metrics of requests that wait at their entry, read when they are scraped.
+ * Registers the metrics of requests that wait for admission at their entry node; values are read when they are scraped.
  *
- * <p>Stateless, thread safe. Labels are bounded: ranks and causes.
+ * <p>Stateless, thread safe. The values of labels are bounded: ranks and causes.
  */
 final class WaitingMetrics {
 
--- a/src/main/java/io/beryldock/node/package-info.java
+++ b/src/main/java/io/beryldock/node/package-info.java
@@ -1,2 +1,2 @@
-/** Assembles a node from its parts and starts and stops it. */
+/** Assembles a node from its components, starts it and stops it. */
 package io.beryldock.node;
--- a/src/main/java/io/beryldock/platform/PlatformModule.java
+++ b/src/main/java/io/beryldock/platform/PlatformModule.java
@@ -39,20 +39,23 @@
 import io.beryldock.timeline.EventSink;
 import java.util.random.RandomGenerator;
 
-/** The parts of a node that the platform brings in place of the product's own surroundings. */
+/** Guice bindings of the parts of a node that the platform replaces. */
 final class PlatformModule extends AbstractModule {
 
-    /** A window can hold the tokens of the one before it too. */
-    private static final int WINDOWS_SAVED = 2;
+    /** Windows whose tokens can be spent in one window: its own and those saved in the window before. */
+    private static final int TOKEN_WINDOWS = 2;
 
-    /** Calls in a row beneath one request for which retries are provided. */
-    private static final int LONGEST_CHAIN = 5;
+    /** Longest chain of nested calls beneath one request that the retry budget provides for. */
+    private static final int MAX_CALL_DEPTH = 5;
 
-    /** Part of the allowed share that is used: nodes' windows don't begin at one moment. */
-    private static final double SPENT_SHARE = 0.9;
+    /** Fraction of the allowed share that is used, because the windows of the nodes do not start simultaneously. */
+    private static final double USED_SHARE = 0.9;
 
-    /** Part of the slack that is used; the rest is for nodes that start, as what they sent before is not known. */
-    private static final double SPENT_SLACK = 0.5;
+    /**
+     * Fraction of the slack that is used. The rest is reserved for restarted nodes, whose earlier requests are not
+     * counted.
+     */
+    private static final double USED_SLACK = 0.5;
 
     private final PlatformSettings settings;
     private final HttpClient targetClient;
@@ -76,7 +79,7 @@
         return StoreRecovery.create();
     }
 
-    /** The membership is known only when it is first asked for: it follows the store through this. */
+    /** Takes a provider of the membership, because the membership itself depends on this object. */
     @Provides
     @Singleton
     StoreSharing sharing(
@@ -140,7 +143,7 @@
     @Provides
     @Singleton
     LocalTargets localTargets(ControlLoop control, TargetAnnouncements announcements) {
-        return new LocalTargets(control, announcements::announce, announcements::restarted);
+        return new LocalTargets(control, announcements::announce, announcements::onTargetRestart);
     }
 
     @Provides
@@ -156,9 +159,11 @@
     }
 
     /**
-     * Targets run as many requests at once as they announce, and queue the rest: the limit stays at the slots.
+     * Settings that keep the concurrency limit at the announced slots: a target runs that many requests at once and
+     * queues the rest.
      *
-     * <p>A limit found by service times sinks where these differ tenfold between the kinds of requests of one target.
+     * <p>A limit adapted to service times would drop too far, because service times differ tenfold between the kinds of
+     * requests of one target.
      */
     @Provides
     @Singleton
@@ -175,7 +180,7 @@
     @Provides
     @Singleton
     CreditSettings creditSettings() {
-        return new CreditSettings(settings.takesCredits());
+        return new CreditSettings(settings.creditsEnabled());
     }
 
     @Provides
@@ -196,28 +201,31 @@
                 service -> budget(Math.max(1, membership.directory().nodes().size())));
     }
 
-    /** Repeats of repeats are counted, so the share needs no divisor; the slack is an even part for each node. */
+    /**
+     * The terms of a windowed budget. Retries of retried calls are counted too, so the share needs no divisor. The
+     * slack is divided evenly between the nodes.
+     */
     private WindowRetryBudget.Terms windowTerms(Membership membership) {
         int nodes = Math.max(1, membership.directory().nodes().size());
         PlatformSettings.Retries retries = settings.retries();
-        int floor = (int) (SPENT_SLACK * retries.slack() / nodes);
-        return new WindowRetryBudget.Terms(SPENT_SHARE * retries.share(), floor, retries.window());
+        int minimum = (int) (USED_SLACK * retries.slack() / nodes);
+        return new WindowRetryBudget.Terms(USED_SHARE * retries.share(), minimum, retries.window());
     }
 
     /**
-     * This node's part of what all nodes may retry.
+     * This node's part of the retry budget of all nodes.
      *
-     * <p>Tokens of first tries may be saved up for a window, so that a window can see twice the share; and a retried
-     * call repeats the calls beneath it, so that a service pays for the retries of every service above it. The share is
-     * divided for both. With a divisor of 4 a service that refused half of its calls saw 1,459 repeats in 10 s where
-     * 1,358 were allowed (one played day). The slack is split over all nodes, half of it saved up and half of it
-     * trickling in a window.
+     * <p>The share is divided by two factors. Tokens earned by first attempts can be saved for one window, so up to
+     * twice the share can be spent in a window. A retried call also repeats its nested calls, so a service bears the
+     * retries of every service above it in the call chain. A divisor of 4 is too small: in a replay of one day, a
+     * service that refused half of its calls received 1,459 retries in 10 s where 1,358 were allowed. The slack is
+     * divided between all nodes; half of it can be saved up, and half of it is refilled evenly over a window.
      */
     private RetryBudgetSettings budget(int nodes) {
         double slack = settings.retries().slack() / 2 / nodes;
         double perSecond = slack / settings.retries().windowSeconds();
         return new RetryBudgetSettings(
-                settings.retries().share() / (WINDOWS_SAVED * LONGEST_CHAIN),
+                settings.retries().share() / (TOKEN_WINDOWS * MAX_CALL_DEPTH),
                 perSecond,
                 slack,
                 settings.retries().window());
--- a/src/main/java/io/beryldock/platform/PlatformSettings.java
+++ b/src/main/java/io/beryldock/platform/PlatformSettings.java
@@ -18,21 +18,22 @@
 import java.util.regex.Pattern;
 
 /**
- * Settings of a node on the platform, from the JSON that the platform fills in from {@code deploy/node.json}.
- * Immutable.
+ * Settings of a node on the platform, read from the JSON file that the platform generates from the template
+ * {@code deploy/node.json}. Immutable.
  *
  * @param id name of the node
  * @param dataCentre name of its data centre
- * @param address IP number of its VM
+ * @param address IP address of its VM
  * @param service service of the target in its VM
- * @param listeners where others reach the node
- * @param store where the platform's store answers, IP:PORT
- * @param retries how much all nodes together may retry
- * @param revokedKeysSeconds time after which a key that was taken away opens nothing at any node, cut off or not;
- *     absent where nodes that can't hear of it may go on
- * @param quotas what is tolerated beyond the quotas of organisations; absent where there are none
- * @param targets how targets are chosen and their slots are used; absent as in the product's defaults
- * @param credits whether entries take credits for trees of calls while a service beneath is short; absent for no
+ * @param listeners addresses on which the node accepts connections
+ * @param store address of the platform's store, IP:PORT
+ * @param retries retry budget of all nodes together
+ * @param revokedKeysSeconds time after which a revoked key is refused by every node, even by nodes that are cut off
+ *     from the store; absent if nodes that cannot learn of the revocation may continue to accept the key
+ * @param quotas tolerance beyond the quotas of organisations; absent if there are no quotas
+ * @param targets how targets are chosen and their slots are used; absent for the product's defaults
+ * @param credits whether entry nodes acquire credits for whole call trees while a called service is overloaded; absent
+ *     for no
  * @param stopSeconds time from SIGTERM to the end of the process
  */
 record PlatformSettings(
@@ -52,35 +53,35 @@
 
     private static final double NANOS_PER_MILLI = 1e6;
     private static final Pattern ADDRESS = Pattern.compile("[0-9.]+:[0-9]{1,5}");
-    private static final String TEMPLATE = "correct deploy/node.json";
+    private static final String REMEDY = "correct deploy/node.json";
 
-    /** What of the stop time is left for telling others, and for leaving; the rest is for requests in flight. */
+    /** Part of the stop time for announcing the stop and leaving the membership; requests in flight have the rest. */
     private static final double STOP_RESERVE_SECONDS = 4;
 
-    /** Heartbeats come each 1.5 s and may be late by seconds. */
+    /** Heartbeats are sent every 1.5 s and may arrive seconds late. */
     private static final int HEARTBEAT_EXPIRY_SECONDS = 6;
 
     /**
      * Listeners of a node.
      *
-     * @param requests takes the requests that begin in this VM, IP:PORT
-     * @param readiness tells whether clients may send requests, IP:PORT
-     * @param heartbeats takes the heartbeats of the target in this VM, IP:PORT
-     * @param peerPort port for other nodes
-     * @param advertisedPeerPort port at which they reach it, when a forwarder takes their connections; absent for the
-     *     same
+     * @param requests address for requests that originate in this VM, IP:PORT
+     * @param readiness address of the readiness endpoint for clients, IP:PORT
+     * @param heartbeats address for the heartbeats of the target in this VM, IP:PORT
+     * @param peerPort port for connections of other nodes
+     * @param advertisedPeerPort port to which other nodes connect if a proxy forwards their connections; absent if it
+     *     is {@code peerPort}
      */
     record Listeners(String requests, String readiness, String heartbeats, int peerPort, Integer advertisedPeerPort) {}
 
     /**
-     * The retries allowed to all nodes together.
+     * The retry budget of all nodes together.
      *
-     * @param share of first tries
-     * @param windowSeconds in any window of that length
-     * @param slack beside the share, a service and window
-     * @param windowed whether each node counts first tries and repeats over sliding windows, in place of tokens
-     * @param resends times that a call is sent again after targets with free slots turned it away; absent for none
-     * @param failedLeaves whether failures of calls that call nothing are tried elsewhere
+     * @param share retries allowed per first attempt, 0 to 1
+     * @param windowSeconds length of the window in which the budget applies; it holds in any window of that length
+     * @param slack retries allowed in addition to the share, per service and window
+     * @param windowed whether each node counts first attempts and retries in sliding windows instead of a token bucket
+     * @param resends number of times a call is sent again after targets with free slots refused it; absent for 0
+     * @param failedLeaves whether a failed call that made no inner calls is retried at another target
      */
     record Retries(
             double share, double windowSeconds, double slack, Boolean windowed, Integer resends, Boolean failedLeaves) {
@@ -99,8 +100,11 @@
     }
 
     /**
-     * What is tolerated beyond a quota, in any window: an overage of it, and some requests beside.
+     * Tolerance beyond a quota, in any window.
      *
+     * @param windowSeconds length of the window
+     * @param overage tolerated excess, as a share of the quota
+     * @param slack requests tolerated in addition to the overage
      * @param dataCentres names of all data centres
      */
     record Quotas(double windowSeconds, double overage, double slack, ImmutableList<String> dataCentres) {
@@ -113,10 +117,12 @@
     /**
      * How targets are chosen and their slots are used.
      *
-     * @param usableSlots share of the slots that is used, for targets that slow down when nearly full; absent for all
-     * @param timesByKind whether service times are told apart by kind of request; absent for no
-     * @param placement how targets are weighed against each other, a name of {@link Placement}
-     * @param crossingMillis what a call's bytes between data centres are worth as waiting time
+     * @param usableSlots share of the announced slots to use, for targets that slow down when nearly full; absent for
+     *     all
+     * @param timesByKind whether service times are tracked separately for each kind of request; absent for no
+     * @param placement strategy for ranking targets, a name of {@link Placement}; absent for the default
+     * @param crossingMillis cost of the bytes that a call sends between data centres, as an equivalent waiting time;
+     *     absent for the default
      */
     record Targets(Double usableSlots, Boolean timesByKind, String placement, Double crossingMillis) {
 
@@ -145,12 +151,12 @@
         }
 
         ChooserSettings chooser() {
-            ChooserSettings usual = ChooserSettings.defaults();
-            Placement chosen = placement == null ? usual.placement() : Placement.valueOf(placement);
+            ChooserSettings defaults = ChooserSettings.defaults();
+            Placement chosen = placement == null ? defaults.placement() : Placement.valueOf(placement);
             Duration crossing = crossingMillis == null
-                    ? usual.crossingPrice()
+                    ? defaults.crossingPrice()
                     : Duration.ofNanos((long) (crossingMillis * NANOS_PER_MILLI));
-            return usual.withPlacement(chosen, crossing);
+            return defaults.withPlacement(chosen, crossing);
         }
     }
 
@@ -192,7 +198,7 @@
 
     private static void require(boolean holds, String key, String expected) throws SettingsException {
         if (!holds) {
-            throw new SettingsException(key, expected, TEMPLATE);
+            throw new SettingsException(key, expected, REMEDY);
         }
     }
 
@@ -200,7 +206,7 @@
         return Optional.ofNullable(revokedKeysSeconds).map(seconds -> Duration.ofMillis((long) (seconds * 1000)));
     }
 
-    boolean takesCredits() {
+    boolean creditsEnabled() {
         return credits != null && credits;
     }
 
@@ -217,7 +223,7 @@
         return Addresses.parse(store);
     }
 
-    /** The product's settings of the same node. */
+    /** The equivalent settings of the product for this node. */
     NodeSettings node() {
         int drain = (int) Math.max(0, Math.round(stopSeconds - STOP_RESERVE_SECONDS));
         return new NodeSettings(
--- a/src/test/java/io/beryldock/node/ControlLoopTest.java
+++ b/src/test/java/io/beryldock/node/ControlLoopTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A control loop on a thread that others use as well. */
+/** Tests of a control loop on a shared thread. */
 final class ControlLoopTest {
 
     private final ScheduledExecutorService shared = Executors.newSingleThreadScheduledExecutor();
@@ -20,13 +20,13 @@
     private final List<String> ran = new ArrayList<>();
 
     @AfterEach
-    void endThread() {
+    void stopThread() {
         shared.shutdownNow();
     }
 
-    /** Guards against a failed task that ends the thread's work, or tasks and due timers out of their order. */
+    /** Guards against a failed task that stops the loop, and against tasks and due timers that run out of order. */
     @Test
-    void runsTasksAndTimersInOrderAlsoAfterOneThatFails() throws InterruptedException {
+    void tasksAndTimersRunInOrderAfterAFailedTask() throws InterruptedException {
         loop.execute(() -> ran.add("first"));
         loop.execute(() -> {
             throw new IllegalStateException("a task fails");
@@ -36,11 +36,11 @@
         assertThat(ran).containsExactly("first", "timer", "last");
     }
 
-    /** Guards against state that changes after its node was closed while the thread lives on. */
+    /** Guards against control state that changes after its node was closed, while the shared thread keeps running. */
     @Test
-    void runsNothingAfterTheCloseAndLeavesTheThreadToItsOwner() throws InterruptedException, ExecutionException {
+    void noTaskRunsAfterCloseAndSharedThreadKeepsRunning() throws InterruptedException, ExecutionException {
         CountDownLatch closed = new CountDownLatch(1);
-        shared.execute(() -> awaitQuietly(closed));
+        shared.execute(() -> awaitLatch(closed));
         loop.execute(() -> ran.add("waiting"));
         loop.timers().after(Duration.ZERO, () -> ran.add("timer"));
         loop.close();
@@ -50,7 +50,7 @@
         assertThat(ran).containsExactly("owner");
     }
 
-    private static void awaitQuietly(CountDownLatch latch) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
--- a/src/test/java/io/beryldock/node/TargetAnnouncementsTest.java
+++ b/src/test/java/io/beryldock/node/TargetAnnouncementsTest.java
@@ -67,18 +67,18 @@
     }
 
     /**
-     * Story: pages open for five seconds after a start, then every request is refused with "no live target". The target
-     * announces itself each second, always with the same words; its node took the unchanged ones for no news and did
-     * not renew them in the membership, which withdrew the target when the first announcement expired.
+     * Guards against requests that are refused with "no live target" from five seconds after a start. The target
+     * repeats the same announcement every second. If the node ignores unchanged announcements and does not renew them
+     * in the membership, the membership withdraws the target when the first announcement expires.
      */
     @Test
-    void unchangedAnnouncementsKeepTheTargetInTheView() {
+    void unchangedAnnouncementsKeepTheTargetInTheMembership() {
         announceEverySecond(TargetState.READY, 20);
         assertThat(targets()).hasSize(1);
     }
 
     @Test
-    void silentTargetIsWithdrawn() {
+    void targetWithoutAnnouncementsIsWithdrawn() {
         announceEverySecond(TargetState.READY, 2);
         timers.advance(EXPIRY.plusSeconds(1));
         assertThat(targets()).isEmpty();
@@ -86,11 +86,11 @@
     }
 
     /**
-     * Story: an operator drains a target before a stop, yet new requests reach it a second later. The target, which
-     * knows nothing of the drain, announces READY again.
+     * Guards against new requests to a drained target: the target is not aware of the drain and announces READY again a
+     * second later.
      */
     @Test
-    void drainedTargetStaysLeavingWhateverItAnnounces() {
+    void drainedTargetStaysLeavingDespiteReadyAnnouncements() {
         announceEverySecond(TargetState.READY, 2);
         announcements.drain();
         announceEverySecond(TargetState.READY, 3);
--- a/src/test/java/io/beryldock/node/WaitingMetricsTest.java
+++ b/src/test/java/io/beryldock/node/WaitingMetricsTest.java
@@ -17,7 +17,7 @@
 class WaitingMetricsTest {
 
     @Test
-    void tellsWhoWaitsAndWhoWasRefused() throws IOException {
+    void metricsShowWaitingAndRefusedRequests() throws IOException {
         PrometheusRegistry registry = new PrometheusRegistry();
         WaitingSnapshot snapshot = new WaitingSnapshot(
                 ImmutableList.of(0, 3),
