--- a/src/main/java/io/beryldock/platform/CallerEndpoint.java
+++ b/src/main/java/io/beryldock/platform/CallerEndpoint.java
@@ -24,14 +24,14 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Takes the requests that begin in this VM, those of its clients and the inner calls of its target, and answers them in
- * the platform's statuses. Thread safe.
+ * HTTP endpoint for the requests that originate in this VM: requests of its clients and inner calls of its target. Maps
+ * the results to the platform's statuses. Thread safe.
  */
 final class CallerEndpoint implements HttpHandler {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
-    /** Promises that the request has not run and never will. */
+    /** Guarantees that the request has not run and will not run. */
     private static final int NOT_RUN = 503;
 
     private static final int BAD_REQUEST = 400;
@@ -39,24 +39,23 @@
     private static final int BAD_GATEWAY = 502;
     private static final int GATEWAY_TIMEOUT = 504;
     private static final long MILLIS_PER_SECOND = 1000;
-    private static final long START_MILLIS = 300;
+    private static final long STARTUP_RETRY_MILLIS = 300;
 
-    private final RequestHandler requests;
+    private final RequestHandler handler;
     private final String ownService;
     private final BooleanSupplier configured;
     private final BooleanSupplier stopping;
     private final DecisionLog decisions = DecisionLog.create(Ticker.system());
 
     /**
-     * An endpoint.
+     * Creates an endpoint.
      *
-     * @param ownService service of the target in this VM, told to the targets that are called
-     * @param configured whether any configuration is known; a node that knows none can't say that a route does not
-     *     exist
-     * @param stopping whether connections are closed with their next answer
+     * @param ownService the service of the target in this VM, passed to the targets that are called
+     * @param configured whether the node has a configuration; without one it cannot decide that a route does not exist
+     * @param stopping whether connections are closed with their next response
      */
-    CallerEndpoint(RequestHandler requests, String ownService, BooleanSupplier configured, BooleanSupplier stopping) {
-        this.requests = requests;
+    CallerEndpoint(RequestHandler handler, String ownService, BooleanSupplier configured, BooleanSupplier stopping) {
+        this.handler = handler;
         this.ownService = ownService;
         this.configured = configured;
         this.stopping = stopping;
@@ -75,38 +74,41 @@
         }
         CancelScope scope = CancelScope.create();
         exchange.onGone(scope::cancel);
-        requests.handle(request.get(), scope).whenComplete((outcome, failure) -> {
+        handler.handle(request.get(), scope).whenComplete((outcome, failure) -> {
             scope.close();
             if (failure != null) {
-                log.atSevere().withCause(failure).log("the handling of %s failed", exchange.uri());
+                log.atSevere().withCause(failure).log("handling the request %s failed", exchange.uri());
             }
             CallResult result = failure == null ? outcome.result() : CallResult.unknown(Reason.INTERNAL, "");
-            end(exchange, outcome, result);
+            complete(exchange, outcome, result);
         });
     }
 
-    /** Ends the exchange whatever fails: nobody else would, and its caller would wait for ever. */
-    private void end(HttpExchange exchange, RequestOutcome outcome, CallResult result) {
+    /** Completes the exchange even if writing the result fails, because otherwise its caller would wait for ever. */
+    private void complete(HttpExchange exchange, RequestOutcome outcome, CallResult result) {
         try {
             HttpAnswer answer = answer(exchange, result);
-            note(exchange, outcome, result, answer.status());
+            logFailure(exchange, outcome, result, answer.status());
             exchange.answer(stopping.getAsBoolean() ? answer.closing() : answer);
         } catch (RuntimeException | Error e) {
-            log.atSevere().withCause(e).log("the result of %s could not be written", exchange.uri());
+            log.atSevere().withCause(e).log("the result of request %s could not be written", exchange.uri());
             exchange.answer(HttpAnswer.of(BAD_GATEWAY));
         }
     }
 
-    /** Joins the id that the caller knows to ours, for whatever ended without success. */
-    private void note(HttpExchange exchange, RequestOutcome outcome, CallResult result, int status) {
+    /** Logs a request that ended without success, with both the caller's request id and the node's own. */
+    private void logFailure(HttpExchange exchange, RequestOutcome outcome, CallResult result, int status) {
         if (outcome == null || status < FIRST_FAILURE) {
             return;
         }
         decisions.add(() -> {
-            String asked = exchange.headers().first(PlatformHeaders.REQUEST_ID).orElse("");
+            String requestId =
+                    exchange.headers().first(PlatformHeaders.REQUEST_ID).orElse("");
             return new DecisionLine(DecisionLine.at("caller")
-                    .put(DecisionLine.ASKED, asked)
-                    .put(DecisionLine.WITHIN, PlatformHeaders.parentOf(asked).orElse(""))
+                    .put(DecisionLine.ASKED, requestId)
+                    .put(
+                            DecisionLine.WITHIN,
+                            PlatformHeaders.parentOf(requestId).orElse(""))
                     .put(DecisionLine.ID, outcome.root().toString())
                     .put(DecisionLine.OUTCOME, result.outcome().name())
                     .put(DecisionLine.REASON, result.reason().map(Reason::name).orElse(""))
@@ -116,18 +118,22 @@
         });
     }
 
-    /** A node that has just started knows the document after one call of the store, some milliseconds. */
+    /**
+     * The response before a configuration is known: a starting node needs one store call, a few milliseconds, for it.
+     */
     private static HttpAnswer notConfigured() {
         return HttpAnswer.of(
-                NOT_RUN, Headers.empty().with(PlatformHeaders.RETRY_AFTER, seconds(START_MILLIS)), ByteString.EMPTY);
+                NOT_RUN,
+                Headers.empty().with(PlatformHeaders.RETRY_AFTER, seconds(STARTUP_RETRY_MILLIS)),
+                ByteString.EMPTY);
     }
 
     private Optional<IncomingRequest> read(HttpExchange exchange) {
-        Headers all = exchange.headers();
-        Optional<String> host = all.first(PlatformHeaders.HOST);
+        Headers headers = exchange.headers();
+        Optional<String> host = headers.first(PlatformHeaders.HOST);
         Optional<Duration> timeLimit;
         try {
-            timeLimit = all.first(PlatformHeaders.TIME_LEFT_MILLIS)
+            timeLimit = headers.first(PlatformHeaders.REMAINING_MILLIS)
                     .map(text -> Duration.ofMillis(Long.parseLong(text.trim())));
         } catch (NumberFormatException e) {
             return Optional.empty();
@@ -135,7 +141,7 @@
         if (host.isEmpty()) {
             return Optional.empty();
         }
-        Headers forwarded = HeaderFilter.withoutHopByHop(all)
+        Headers forwarded = HeaderFilter.withoutHopByHop(headers)
                 .without(CallerEndpoint::isSetByNodes)
                 .with(PlatformHeaders.CALLER_SERVICE, ownService);
         return Optional.of(new IncomingRequest(
@@ -149,15 +155,16 @@
                 identity(exchange),
                 host.get(),
                 timeLimit,
-                all.all(PlatformHeaders.CREDENTIAL),
-                all.first(PlatformHeaders.REQUEST_ID).flatMap(PlatformHeaders::parentOf)));
+                headers.all(PlatformHeaders.CREDENTIAL),
+                headers.first(PlatformHeaders.REQUEST_ID).flatMap(PlatformHeaders::parentOf)));
     }
 
     /**
-     * Stands for the caller, whom nothing tells from others: all callers of this VM come from its own address.
+     * The identity by which load shedding orders callers: the request id, or the remote address if there is none.
      *
-     * <p>The address would shed all of them together or none, so that a level between the two admitted whole VMs and
-     * refused others again and again.
+     * <p>All callers in this VM have the VM's own address and cannot be told apart by it. Ordered by the address, they
+     * would be shed all together or not at all, so a partial admission level would admit all requests of some VMs and
+     * repeatedly refuse all requests of others.
      */
     private static String identity(HttpExchange exchange) {
         return exchange.headers()
@@ -166,7 +173,7 @@
     }
 
     private static boolean isSetByNodes(String name) {
-        return name.equalsIgnoreCase(PlatformHeaders.TIME_LEFT_MILLIS)
+        return name.equalsIgnoreCase(PlatformHeaders.REMAINING_MILLIS)
                 || name.equalsIgnoreCase(PlatformHeaders.EXPECTED_TARGET)
                 || name.equalsIgnoreCase(PlatformHeaders.CALLER_SERVICE)
                 || name.equalsIgnoreCase(PlatformHeaders.CREDENTIAL)
@@ -175,11 +182,11 @@
 
     private static HttpAnswer answer(HttpExchange exchange, CallResult result) {
         return result.answer()
-                .map(CallerEndpoint::passedOn)
+                .map(CallerEndpoint::forwardedAnswer)
                 .orElseGet(() -> failure(exchange, result, result.reason().orElse(Reason.INTERNAL)));
     }
 
-    private static HttpAnswer passedOn(Answer answer) {
+    private static HttpAnswer forwardedAnswer(Answer answer) {
         return HttpAnswer.of(answer.status(), answer.headers(), answer.body());
     }
 
@@ -188,10 +195,11 @@
         String text = reason.message() + "; " + reason.remedy() + "\n";
         Headers headers = Headers.empty().with("Content-Type", "text/plain");
         Optional<String> id = exchange.headers().first(PlatformHeaders.REQUEST_ID);
-        Headers echoed = id.isPresent() ? headers.with(PlatformHeaders.REQUEST_ID, id.get()) : headers;
-        boolean returns = result.outcome() == Outcome.NOT_RUN && result.retryAfterMillis() > 0;
-        Headers told = returns ? echoed.with(PlatformHeaders.RETRY_AFTER, seconds(result.retryAfterMillis())) : echoed;
-        return HttpAnswer.of(status, told, ByteString.copyFromUtf8(text));
+        Headers withId = id.isPresent() ? headers.with(PlatformHeaders.REQUEST_ID, id.get()) : headers;
+        boolean mayRetry = result.outcome() == Outcome.NOT_RUN && result.retryAfterMillis() > 0;
+        Headers responseHeaders =
+                mayRetry ? withId.with(PlatformHeaders.RETRY_AFTER, seconds(result.retryAfterMillis())) : withId;
+        return HttpAnswer.of(status, responseHeaders, ByteString.copyFromUtf8(text));
     }
 
     private static int status(Outcome outcome, Reason reason) {
@@ -205,7 +213,7 @@
     }
 
     private static String seconds(long millis) {
-        // Not by a formatter, which loads the rules of locales into a node that has just started.
+        // No formatter, because it would load locale data into a node that has just started.
         String fraction = Long.toString(MILLIS_PER_SECOND + millis % MILLIS_PER_SECOND);
         return millis / MILLIS_PER_SECOND + "." + fraction.substring(1);
     }
--- a/src/main/java/io/beryldock/platform/Heartbeat.java
+++ b/src/main/java/io/beryldock/platform/Heartbeat.java
@@ -9,42 +9,43 @@
 import java.util.regex.Pattern;
 
 /**
- * What a target says of itself in one heartbeat. Immutable.
+ * The content of one heartbeat of a target. Immutable.
  *
- * @param sequence rises with each heartbeat of one start, so that a late one is known
- * @param startedAtMillis wall clock time of the target's start, {@link #UNKNOWN_START} when it does not say it; tells
- *     two starts under one id apart
+ * @param sequence increases with each heartbeat of one start of the target, so that a late heartbeat can be detected
+ * @param startedAtMillis wall clock time at which the target started, or {@link #UNKNOWN_START} if the heartbeat does
+ *     not contain it; distinguishes two starts under the same id
  */
 record Heartbeat(Announcement announcement, long sequence, long startedAtMillis) {
 
-    /** Start of a target that does not say when it started. */
+    /** Start time of a target whose heartbeat does not contain one. */
     static final long UNKNOWN_START = 0;
 
-    /** Names the time of the start, at the top level of whatever a target says of itself. */
+    /** Top-level field that contains the start time, in every body that a target sends about itself. */
     private static final String STARTED_AT = "born";
 
     private static final Pattern ADDRESS = Pattern.compile("[0-9.]{7,15}:[0-9]{1,5}");
 
     /**
-     * Reads the body; empty when it is no heartbeat of a target of the service.
+     * Reads a heartbeat from the body; empty if the body is not a valid heartbeat of a target of the service.
      *
-     * <p>Guards against what another program sends: a field that is missing, has another type or holds a word that does
-     * not exist. Read leniently, an unknown state would count as ready and a missing slot count as none.
+     * <p>Validation is strict because other programs may send heartbeats in which a field is missing, has another type
+     * or contains an unknown value. A lenient reader would take an unknown state for ready and a missing slot count for
+     * zero.
      */
     static Optional<Heartbeat> read(ByteString body, String ownService) {
-        return tree(body).flatMap(root -> read(root, ownService));
+        return parse(body).flatMap(root -> read(root, ownService));
     }
 
-    /** When the sender of the body started; {@link #UNKNOWN_START} when it does not say so. */
+    /** The start time of the body's sender, or {@link #UNKNOWN_START} if the body does not contain it. */
     static long startedAt(ByteString body) {
-        return tree(body)
+        return parse(body)
                 .map(root -> root.path(STARTED_AT))
                 .filter(JsonNode::isIntegralNumber)
                 .map(JsonNode::asLong)
                 .orElse(UNKNOWN_START);
     }
 
-    private static Optional<JsonNode> tree(ByteString body) {
+    private static Optional<JsonNode> parse(ByteString body) {
         try {
             return Optional.ofNullable(Json.read(body));
         } catch (IOException e) {
@@ -53,14 +54,14 @@
     }
 
     private static Optional<Heartbeat> read(JsonNode root, String ownService) {
-        JsonNode fixed = root.path("info");
-        JsonNode changing = root.path("status");
-        JsonNode service = fixed.path("service");
-        JsonNode slots = fixed.path("slots");
-        JsonNode sequence = changing.path("sequence");
+        JsonNode info = root.path("info");
+        JsonNode status = root.path("status");
+        JsonNode service = info.path("service");
+        JsonNode slots = info.path("slots");
+        JsonNode sequence = status.path("sequence");
         JsonNode startedAt = root.path(STARTED_AT);
-        Optional<TargetState> state = state(changing.path("state"));
-        boolean readable = service.isTextual()
+        Optional<TargetState> state = state(status.path("state"));
+        boolean valid = service.isTextual()
                 && service.asText().equals(ownService)
                 && isAddress(root.path("address"))
                 && slots.canConvertToInt()
@@ -68,7 +69,7 @@
                 && slots.asInt() > 0
                 && sequence.isIntegralNumber()
                 && (startedAt.isMissingNode() || startedAt.isIntegralNumber());
-        if (!readable || state.isEmpty()) {
+        if (!valid || state.isEmpty()) {
             return Optional.empty();
         }
         Announcement announcement =
@@ -80,11 +81,11 @@
         return address.isTextual() && ADDRESS.matcher(address.asText()).matches();
     }
 
-    private static Optional<TargetState> state(JsonNode word) {
-        if (!word.isTextual()) {
+    private static Optional<TargetState> state(JsonNode field) {
+        if (!field.isTextual()) {
             return Optional.empty();
         }
-        return switch (word.asText()) {
+        return switch (field.asText()) {
             case "ready" -> Optional.of(TargetState.READY);
             case "draining" -> Optional.of(TargetState.LEAVING);
             default -> Optional.empty();
--- a/src/main/java/io/beryldock/platform/HeartbeatEndpoint.java
+++ b/src/main/java/io/beryldock/platform/HeartbeatEndpoint.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Takes the heartbeats of the target in this VM. Thread safe.
+ * HTTP endpoint for the heartbeats of the target in this VM. Thread safe.
  *
- * <p>A heartbeat is acknowledged after the gate has taken it in: from the acknowledgement of a leaving on, the gate
- * refuses new work, whatever other nodes believe.
+ * <p>A heartbeat is acknowledged only after the target's gate has applied it. Once the target's departure has been
+ * acknowledged, the gate therefore refuses new work, even if other nodes still list the target as ready.
  */
 final class HeartbeatEndpoint implements HttpHandler {
 
@@ -30,9 +30,9 @@
     private final String ownService;
 
     /**
-     * An endpoint.
+     * Creates an endpoint.
      *
-     * @param ownService service of the target in this VM
+     * @param ownService the service of the target in this VM
      */
     HeartbeatEndpoint(LocalTargets targets, String ownService) {
         this.targets = targets;
@@ -47,30 +47,30 @@
         }
         String id = exchange.uri().substring(PATH.length());
         switch (exchange.method()) {
-            case "PUT" -> beat(id, exchange);
+            case "PUT" -> handleHeartbeat(id, exchange);
             case "DELETE" ->
-                targets.ended(id, Heartbeat.startedAt(exchange.body()))
+                targets.onEnded(id, Heartbeat.startedAt(exchange.body()))
                         .whenComplete((done, failure) -> acknowledge(exchange, failure));
             default -> exchange.answer(HttpAnswer.of(NOT_FOUND));
         }
     }
 
-    private void beat(String id, HttpExchange exchange) {
-        Optional<Heartbeat> beat = Heartbeat.read(exchange.body(), ownService);
-        if (beat.isEmpty()) {
+    private void handleHeartbeat(String id, HttpExchange exchange) {
+        Optional<Heartbeat> heartbeat = Heartbeat.read(exchange.body(), ownService);
+        if (heartbeat.isEmpty()) {
             log.atWarning().atMostEvery(LOG_SECONDS, TimeUnit.SECONDS).log(
-                    "a heartbeat of the target %s can't be read and changes nothing; it must name the service %s, an"
-                            + " address, slots, a known state and a sequence",
+                    "ignored an invalid heartbeat of target %s; a heartbeat must contain service %s, an address, slots,"
+                            + " a known state and a sequence",
                     id, ownService);
             exchange.answer(HttpAnswer.of(BAD_REQUEST));
             return;
         }
-        targets.heard(id, beat.get()).whenComplete((done, failure) -> acknowledge(exchange, failure));
+        targets.onHeartbeat(id, heartbeat.get()).whenComplete((done, failure) -> acknowledge(exchange, failure));
     }
 
     private static void acknowledge(HttpExchange exchange, Throwable failure) {
         if (failure != null) {
-            log.atSevere().withCause(failure).log("a heartbeat could not be taken in");
+            log.atSevere().withCause(failure).log("a heartbeat could not be processed");
             exchange.answer(HttpAnswer.of(INTERNAL));
             return;
         }
--- a/src/main/java/io/beryldock/platform/Json.java
+++ b/src/main/java/io/beryldock/platform/Json.java
@@ -7,14 +7,18 @@
 import com.google.protobuf.ByteString;
 import java.io.IOException;
 
-/** JSON of the bodies on the platform. Stateless, thread safe. */
+/** Reads and writes the JSON bodies of the platform's protocols. Stateless, thread safe. */
 final class Json {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private Json() {}
 
-    /** Reads a body; fails when it is no JSON. */
+    /**
+     * Reads a body.
+     *
+     * @throws IOException if the body is not valid JSON
+     */
     static JsonNode read(ByteString body) throws IOException {
         return MAPPER.readTree(body.toByteArray());
     }
@@ -27,7 +31,7 @@
         try {
             return ByteString.copyFrom(MAPPER.writeValueAsBytes(node));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a tree of texts and numbers is always JSON", e);
+            throw new IllegalStateException("a JSON tree could not be serialised", e);
         }
     }
 }
--- a/src/main/java/io/beryldock/platform/KvJson.java
+++ b/src/main/java/io/beryldock/platform/KvJson.java
@@ -14,29 +14,37 @@
 import java.util.Optional;
 import java.util.concurrent.CompletionException;
 
-/** The bodies of the store's calls. Stateless, thread safe. */
+/** Encodes and decodes the JSON bodies of the store's protocol. Stateless, thread safe. */
 final class KvJson {
 
     private static final String KEY = "key";
     private static final String VALUE = "value";
     private static final String REVISION = "revision";
 
-    /** Key of the number of a lease, and in an item of the lease that it is under. */
+    /** Field that contains the number of a lease; in an item, the number of the lease to which the key is attached. */
     private static final String LEASE = "lease";
 
     private KvJson() {}
 
-    /** Reads the body of an answer; fails with a {@link PlatformException} within when it is no JSON. */
+    /**
+     * Reads the body of a response.
+     *
+     * @throws CompletionException with a {@link PlatformException} as its cause, if the body is not valid JSON
+     */
     static JsonNode read(HttpReply reply) {
         try {
             return Json.read(reply.body());
         } catch (IOException e) {
-            throw new CompletionException(
-                    new PlatformException("the platform store's answer is no JSON; go on with what is known", e));
+            throw new CompletionException(new PlatformException(
+                    "the platform store's response is not valid JSON; continue with the last known state", e));
         }
     }
 
-    /** Items or events of an answer that names the era. */
+    /**
+     * Decodes the items or events of a response.
+     *
+     * @param era the era of the store that the response names
+     */
     static ImmutableList<Entry> entries(JsonNode array, long era) {
         ImmutableList.Builder<Entry> entries = ImmutableList.builder();
         array.forEach(item -> entries.add(entry(item, era)));
@@ -56,17 +64,23 @@
         return new StoreRevision(era, item.path(REVISION).asLong());
     }
 
-    /** A lease number in an answer; 0 stands for none. */
-    static long lease(JsonNode answer) {
-        return answer.path(LEASE).asLong();
+    /** The lease number in a response; 0 means no lease. */
+    static long lease(JsonNode response) {
+        return response.path(LEASE).asLong();
     }
 
-    /** A lease's length goes over the wire in seconds, with fractions. */
+    /** The body of a request for a lease; the protocol has its duration in seconds, with fractions. */
     static ByteString leaseRequest(double seconds) {
         return Json.write(Json.object().put("ttlS", seconds));
     }
 
-    /** A write of one key; the condition, if any, is the revision that the key must still have, 0 for none. */
+    /**
+     * The body of a write of one key.
+     *
+     * @param lease number of the lease to attach the key to, 0 for no lease
+     * @param expectedRevision revision that the key must still have, 0 if the key must not exist; empty for an
+     *     unconditional write
+     */
     static ByteString writeRequest(String key, ByteString value, long lease, Optional<Long> expectedRevision) {
         ObjectNode transaction = Json.object();
         ArrayNode conditions = transaction.putArray("expectedRev");
--- a/src/main/java/io/beryldock/platform/KvStoreClient.java
+++ b/src/main/java/io/beryldock/platform/KvStoreClient.java
@@ -26,28 +26,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one client of the platform's store.
+ * The client of the platform's store.
  *
- * <p>Thread safe; never blocks its caller; sends no request twice. A conditional write is
- * {@link WriteResult.Kind#NOT_APPLIED} only when it was never sent or the store says that nothing was done; every other
- * failure may hide an effect, also a later one, and is {@link WriteResult.Kind#UNKNOWN}.
+ * <p>Thread safe; never blocks its caller; sends no request twice. A conditional write results in
+ * {@link WriteResult.Kind#NOT_APPLIED} only if the request was never sent or the store reports that the write had no
+ * effect. After any other failure the write may have been applied or may still be applied later, so the result is
+ * {@link WriteResult.Kind#UNKNOWN}.
  */
 final class KvStoreClient implements PlatformStore, RegistryStore {
 
     /**
-     * Longest wait for an answer beyond the time that a watch asked for. A store that is 60 times slower than its usual
-     * 4 ms answers in 240 ms.
+     * Time-out of a response, in addition to the wait that a watch requests. A store that is 60 times slower than its
+     * usual 4 ms responds within 240 ms.
      */
-    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(1200);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1200);
 
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
     private static final int HISTORY_GONE = 410;
     private static final double MILLIS_PER_SECOND = 1000;
-    /** A key that need not exist. */
-    private static final String PROBED = "beryldock/probe";
 
-    private static final String REMEDY = "; go on with what is known and ask again later";
+    /** Key that the probe reads; the key need not exist. */
+    private static final String PROBE_KEY = "beryldock/probe";
+
+    private static final String REMEDY = "; continue with the last known state and retry later";
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int LOG_SECONDS = 10;
@@ -67,16 +69,16 @@
 
     @Override
     public CompletableFuture<Optional<StoredValue>> get(String key) {
-        return ask("GET", "/kv-key?key=" + escaped(key), ByteString.EMPTY, Duration.ZERO)
+        return call("GET", "/kv-key?key=" + escape(key), ByteString.EMPTY, Duration.ZERO)
                 .thenApply(reply -> {
                     if (reply.status() == NOT_FOUND) {
                         return Optional.empty();
                     }
-                    return Optional.of(stored(KvJson.read(checked(reply)), eraOf(reply)));
+                    return Optional.of(toStoredValue(KvJson.read(checked(reply)), eraOf(reply)));
                 });
     }
 
-    private static StoredValue stored(JsonNode item, long era) {
+    private static StoredValue toStoredValue(JsonNode item, long era) {
         return new StoredValue(KvVersion.of(KvJson.revision(item, era)), KvJson.value(item));
     }
 
@@ -85,50 +87,57 @@
         StoreRevision expected = KvVersion.revision(expectedVersion);
         boolean mustExist = expectedVersion != ABSENT;
         if (mustExist && expected.era() < eras.newest()) {
-            return conflict(key);
+            return readConflict(key);
         }
         ByteString body = KvJson.writeRequest(key, value, 0, Optional.of(expected.number()));
         return exchange("POST", "/kv-txn", body, Duration.ZERO)
-                .handle((reply, failure) -> written(reply, failure, expected, mustExist));
+                .handle((reply, failure) -> toWriteResult(reply, failure, expected, mustExist));
     }
 
-    /** A version of an earlier era is surely replaced, though its revision may be given out again. */
-    private CompletableFuture<WriteResult> conflict(String key) {
-        return get(key).handle((found, failure) -> {
+    /**
+     * Reads the current value for the result of a write whose expected version is of an earlier era. Such a version is
+     * no longer current, even if the store has assigned its revision number again.
+     */
+    private CompletableFuture<WriteResult> readConflict(String key) {
+        return get(key).handle((current, failure) -> {
             if (failure != null) {
-                log.atWarning().withCause(failure).log("%s can't be read back and was not written", key);
+                log.atWarning().withCause(failure).log(
+                        "key %s was not written, and its current value could not be read", key);
                 return WriteResult.notApplied();
             }
-            return WriteResult.conflict(found);
+            return WriteResult.conflict(current);
         });
     }
 
-    /** What was written in another era than that of the condition may have replaced anything. */
-    private WriteResult written(HttpReply reply, Throwable failure, StoreRevision expected, boolean mustExist) {
-        WriteResult result = written(reply, failure);
+    /**
+     * The result of a conditional write. If the write was applied in another era than the era of the expected version,
+     * the replaced value is unknown.
+     */
+    private WriteResult toWriteResult(HttpReply reply, Throwable failure, StoreRevision expected, boolean mustExist) {
+        WriteResult result = toWriteResult(reply, failure);
         boolean applied = result.kind() == WriteResult.Kind.APPLIED;
         return applied && mustExist && eraOf(reply) != expected.era() ? WriteResult.unknown() : result;
     }
 
-    private WriteResult written(HttpReply reply, Throwable failure) {
+    private WriteResult toWriteResult(HttpReply reply, Throwable failure) {
         if (failure != null) {
             return HttpExchangeException.isNotSent(failure) ? WriteResult.notApplied() : WriteResult.unknown();
         }
         return KvWrites.result(reply, eraOf(reply));
     }
 
-    /** The name stands as a key under a lease of the store; who holds it is its value. */
+    /** Takes the lease by writing a key of its name, attached to a lease of the store; the value names the holder. */
     @Override
     public CompletableFuture<Boolean> lease(String name, String holder, Duration length) {
         ByteString value = ByteString.copyFromUtf8(holder);
-        return get(name).thenCompose(found -> {
-            if (found.isPresent()) {
-                return CompletableFuture.completedFuture(found.get().value().equals(value));
+        return get(name).thenCompose(current -> {
+            if (current.isPresent()) {
+                return CompletableFuture.completedFuture(current.get().value().equals(value));
             }
             return grantLease(length).thenCompose(lease -> {
                 ByteString body = KvJson.writeRequest(name, value, lease, Optional.of(ABSENT));
                 return exchange("POST", "/kv-txn", body, Duration.ZERO)
-                        .handle(this::written)
+                        .handle(this::toWriteResult)
                         .thenApply(result -> result.kind() == WriteResult.Kind.APPLIED);
             });
         });
@@ -136,8 +145,8 @@
 
     @Override
     public CompletableFuture<Optional<StoredValue>> watch(String key, long afterVersion, Duration wait) {
-        StoreRevision known = KvVersion.revision(afterVersion);
-        StoreRevision after = afterVersion == ABSENT ? new StoreRevision(eras.newest(), 0) : known;
+        StoreRevision knownRevision = KvVersion.revision(afterVersion);
+        StoreRevision after = afterVersion == ABSENT ? new StoreRevision(eras.newest(), 0) : knownRevision;
         return changes(key, after, wait).thenCompose(changes -> {
             Optional<Entry> last = changes.entries().stream()
                     .filter(entry -> entry.key().equals(key))
@@ -160,22 +169,27 @@
         return page(prefix, "", ImmutableList.of(), Optional.empty());
     }
 
-    /** Pages are no snapshot: changes are followed from the revision of the first one. */
+    /**
+     * Reads the pages of a listing. They form no consistent snapshot, so changes are watched from the first page's
+     * revision.
+     */
     private CompletableFuture<Listing> page(
-            String prefix, String after, ImmutableList<Entry> before, Optional<StoreRevision> first) {
-        String from = after.isEmpty() ? "" : "&after=" + escaped(after);
-        String uri = "/kv-range?pathPrefix=" + escaped(prefix) + from;
-        return ask("GET", uri, ByteString.EMPTY, Duration.ZERO).thenCompose(reply -> {
+            String prefix, String after, ImmutableList<Entry> previousPages, Optional<StoreRevision> firstRevision) {
+        String from = after.isEmpty() ? "" : "&after=" + escape(after);
+        String uri = "/kv-range?pathPrefix=" + escape(prefix) + from;
+        return call("GET", uri, ByteString.EMPTY, Duration.ZERO).thenCompose(reply -> {
             JsonNode answer = KvJson.read(checked(reply));
             StoreRevision at = new StoreRevision(eraOf(reply), answer.path("at").asLong());
-            StoreRevision revision = first.orElse(at);
+            StoreRevision revision = firstRevision.orElse(at);
             if (!at.isSameEra(revision)) {
                 return CompletableFuture.failedFuture(
-                        new PlatformException("the store came back from an older copy between two pages" + REMEDY));
+                        new PlatformException("the store was restored from an older copy between two pages" + REMEDY));
             }
             ImmutableList<Entry> page = KvJson.entries(answer.path("items"), at.era());
-            ImmutableList<Entry> all =
-                    ImmutableList.<Entry>builder().addAll(before).addAll(page).build();
+            ImmutableList<Entry> all = ImmutableList.<Entry>builder()
+                    .addAll(previousPages)
+                    .addAll(page)
+                    .build();
             if (!answer.path("hasMore").asBoolean() || page.isEmpty()) {
                 return CompletableFuture.completedFuture(new Listing(all, revision));
             }
@@ -186,8 +200,8 @@
     @Override
     public CompletableFuture<Changes> changes(String prefix, StoreRevision after, Duration wait) {
         String uri =
-                "/kv-watch?pathPrefix=" + escaped(prefix) + "&after=" + after.number() + "&waitMs=" + wait.toMillis();
-        return ask("GET", uri, ByteString.EMPTY, wait).thenApply(reply -> {
+                "/kv-watch?pathPrefix=" + escape(prefix) + "&after=" + after.number() + "&waitMs=" + wait.toMillis();
+        return call("GET", uri, ByteString.EMPTY, wait).thenApply(reply -> {
             long era = eraOf(reply);
             if (reply.status() == HISTORY_GONE) {
                 return new Changes(true, ImmutableList.of(), new StoreRevision(era, after.number()));
@@ -198,81 +212,82 @@
         });
     }
 
-    /** Reads a key that may be absent from a copy that may be old: the cheapest call there is. */
+    /** Reads a key, which may be absent, with stale reads allowed: the cheapest call of the protocol. */
     @Override
     public CompletableFuture<Void> probe() {
-        return ask("GET", "/kv-key?key=" + escaped(PROBED) + "&allowStale=1", ByteString.EMPTY, Duration.ZERO)
-                .thenAccept(KvStoreClient::found);
+        return call("GET", "/kv-key?key=" + escape(PROBE_KEY) + "&allowStale=1", ByteString.EMPTY, Duration.ZERO)
+                .thenAccept(KvStoreClient::exists);
     }
 
     @Override
     public CompletableFuture<Long> grantLease(Duration length) {
         ByteString body = KvJson.leaseRequest(length.toMillis() / MILLIS_PER_SECOND);
-        return ask("POST", "/kv-lease", body, Duration.ZERO)
+        return call("POST", "/kv-lease", body, Duration.ZERO)
                 .thenApply(reply -> KvJson.lease(KvJson.read(checked(reply))));
     }
 
     @Override
     public CompletableFuture<Boolean> renewLease(long lease) {
-        return ask("POST", "/kv-keep/" + lease, ByteString.EMPTY, Duration.ZERO).thenApply(KvStoreClient::found);
+        return call("POST", "/kv-keep/" + lease, ByteString.EMPTY, Duration.ZERO)
+                .thenApply(KvStoreClient::exists);
     }
 
     @Override
     public CompletableFuture<Void> endLease(long lease) {
-        return ask("DELETE", "/kv-lease-end/" + lease, ByteString.EMPTY, Duration.ZERO)
-                .thenAccept(KvStoreClient::found);
+        return call("DELETE", "/kv-lease-end/" + lease, ByteString.EMPTY, Duration.ZERO)
+                .thenAccept(KvStoreClient::exists);
     }
 
     @Override
     public CompletableFuture<Boolean> put(String key, ByteString value, long lease) {
         ByteString body = KvJson.writeRequest(key, value, lease, Optional.empty());
-        return ask("POST", "/kv-txn", body, Duration.ZERO).thenApply(KvStoreClient::found);
+        return call("POST", "/kv-txn", body, Duration.ZERO).thenApply(KvStoreClient::exists);
     }
 
-    private static boolean found(HttpReply reply) {
+    private static boolean exists(HttpReply reply) {
         return reply.status() != NOT_FOUND && checked(reply) != null;
     }
 
     private static HttpReply checked(HttpReply reply) {
         if (reply.status() != OK) {
             throw new CompletionException(
-                    new PlatformException("the platform store answered " + reply.status() + REMEDY));
+                    new PlatformException("the platform store responded with status " + reply.status() + REMEDY));
         }
         return reply;
     }
 
-    private static String escaped(String text) {
+    private static String escape(String text) {
         return UrlEscapers.urlFormParameterEscaper().escape(text);
     }
 
-    private CompletableFuture<HttpReply> ask(String method, String uri, ByteString body, Duration wait) {
+    private CompletableFuture<HttpReply> call(String method, String uri, ByteString body, Duration wait) {
         return exchange(method, uri, body, wait)
                 .exceptionallyCompose(failure -> CompletableFuture.failedFuture(
-                        new PlatformException("no answer from the platform store" + REMEDY, failure)));
+                        new PlatformException("no response from the platform store" + REMEDY, failure)));
     }
 
     private CompletableFuture<HttpReply> exchange(String method, String uri, ByteString body, Duration wait) {
         Headers headers = Headers.empty().with("Host", address.getHostString() + ":" + address.getPort());
         Headers typed = body.isEmpty() ? headers : headers.with("Content-Type", "application/json");
-        return client.send(address, HttpCall.of(method, uri, typed, body), wait.plus(ANSWER_TIMEOUT))
+        return client.send(address, HttpCall.of(method, uri, typed, body), wait.plus(RESPONSE_TIMEOUT))
                 .whenComplete((reply, failure) -> {
                     if (failure == null) {
-                        noteEra(reply);
+                        recordEra(reply);
                     }
                 });
     }
 
-    private void noteEra(HttpReply reply) {
+    private void recordEra(HttpReply reply) {
         eras.note(eraOf(reply));
     }
 
-    /** The era that the answer names; one that names none is taken to be of the last one known. */
+    /** The era that the response names, or the newest known era if the response names none. */
     private long eraOf(HttpReply reply) {
         Optional<String> text = reply.headers().first(PlatformHeaders.STORE_ERA);
         Optional<Long> era = text.map(Longs::tryParse);
         if (text.isPresent() && era.isEmpty()) {
             log.atWarning().atMostEvery(LOG_SECONDS, TimeUnit.SECONDS).log(
-                    "the store names no number as its era but '%s'; the last one is taken to hold", text.get());
+                    "the store sent an era that is not a number: '%s'; using the newest known era", text.get());
         }
         return era.orElseGet(eras::newest);
     }
--- a/src/main/java/io/beryldock/platform/KvVersion.java
+++ b/src/main/java/io/beryldock/platform/KvVersion.java
@@ -3,24 +3,25 @@
 import io.beryldock.store.StoreRevision;
 
 /**
- * Versions of values that rise over eras of the store: the era stands in the upper bits, the revision in the lower.
+ * Encodes a store revision as a version number that increases across eras of the store: the upper bits hold the era,
+ * the lower bits the revision number.
  *
  * <p>Stateless, thread safe.
  */
 final class KvVersion {
 
-    /** Enough for a thousand changes a second over five hundred years. */
-    private static final int NUMBER_BITS = 44;
+    /** Bits for the revision number, enough for a thousand changes per second over five hundred years. */
+    private static final int REVISION_BITS = 44;
 
-    private static final long NUMBER_MASK = (1L << NUMBER_BITS) - 1;
+    private static final long REVISION_MASK = (1L << REVISION_BITS) - 1;
 
     private KvVersion() {}
 
     static long of(StoreRevision revision) {
-        return revision.era() << NUMBER_BITS | revision.number();
+        return revision.era() << REVISION_BITS | revision.number();
     }
 
     static StoreRevision revision(long version) {
-        return new StoreRevision(version >>> NUMBER_BITS, version & NUMBER_MASK);
+        return new StoreRevision(version >>> REVISION_BITS, version & REVISION_MASK);
     }
 }
--- a/src/main/java/io/beryldock/platform/KvWrites.java
+++ b/src/main/java/io/beryldock/platform/KvWrites.java
@@ -7,28 +7,32 @@
 import io.beryldock.store.StoredValue;
 import io.beryldock.store.WriteResult;
 
-/** Reads what became of a conditional write. Stateless, thread safe. */
+/** Maps the store's response to a conditional write to a {@link WriteResult}. Stateless, thread safe. */
 final class KvWrites {
 
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
     private static final int CONDITION_FAILED = 412;
-    private static final int TOO_MANY = 429;
+    private static final int TOO_MANY_REQUESTS = 429;
     private static final int UNAVAILABLE = 503;
 
     private KvWrites() {}
 
-    /** What an answer says that names the era. */
+    /**
+     * The result of the write.
+     *
+     * @param era the era of the store that the response names
+     */
     static WriteResult result(HttpReply reply, long era) {
         return switch (reply.status()) {
             case OK -> WriteResult.applied(KvVersion.of(KvJson.revision(KvJson.read(reply), era)));
             case CONDITION_FAILED -> conflict(KvJson.entries(KvJson.read(reply).path("items"), era));
-            case TOO_MANY, UNAVAILABLE, NOT_FOUND -> WriteResult.notApplied();
+            case TOO_MANY_REQUESTS, UNAVAILABLE, NOT_FOUND -> WriteResult.notApplied();
             default -> WriteResult.unknown();
         };
     }
 
-    /** A key that does not exist stands among the items with no value. */
+    /** A key that does not exist is listed among the items without a value. */
     private static WriteResult conflict(ImmutableList<Entry> items) {
         return WriteResult.conflict(items.stream()
                 .filter(item -> item.revision().number() > PlatformStore.ABSENT
--- a/src/main/java/io/beryldock/platform/LocalTargetLives.java
+++ b/src/main/java/io/beryldock/platform/LocalTargetLives.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Tells the lives of the target apart by the starts that its heartbeats name and by the connections to it.
+ * Detects a restart of the target from the starts that its heartbeats identify and from the connections to it.
  *
- * <p>No connection is made for this while one from before the loss is open, as targets take few and each may hold a
- * slot. Thread safe.
+ * <p>A target is probed with a new connection only if no connection that was opened before the loss is still open:
+ * targets accept few connections, and each connection may occupy a slot. Thread safe.
  */
 final class LocalTargetLives implements TargetLives {
 
@@ -32,23 +32,24 @@
         return new Life(this, targets.current(), target);
     }
 
-    private CompletableFuture<LifeSign> look(Life life, long lostAtNanos) {
+    private CompletableFuture<LifeSign> check(Life life, long lostAtNanos) {
         if (!targets.current().equals(life.start())) {
             return CompletableFuture.completedFuture(LifeSign.ENDED);
         }
         return client.hasConnectionFromBefore(life.address(), lostAtNanos)
                 .thenCompose(open -> open
                         ? CompletableFuture.completedFuture(LifeSign.GOES_ON)
-                        : probe.listens(life.address()).thenApply(up -> up ? LifeSign.UNKNOWN : LifeSign.ENDED));
+                        : probe.listens(life.address())
+                                .thenApply(listens -> listens ? LifeSign.UNKNOWN : LifeSign.ENDED));
     }
 
-    /** A start of the target. Equal for one start. */
-    private record Life(LocalTargetLives lives, Optional<LocalTarget> start, InetSocketAddress address)
+    /** One start of the target. Two instances for the same start are equal. */
+    private record Life(LocalTargetLives owner, Optional<LocalTarget> start, InetSocketAddress address)
             implements TargetLife {
 
         @Override
         public CompletableFuture<LifeSign> look(long lostAtNanos) {
-            return lives.look(this, lostAtNanos);
+            return owner.check(this, lostAtNanos);
         }
     }
 }
--- a/src/main/java/io/beryldock/platform/LocalTargets.java
+++ b/src/main/java/io/beryldock/platform/LocalTargets.java
@@ -10,42 +10,45 @@
 import java.util.function.Consumer;
 
 /**
- * Which start of the target in this VM is the present one.
+ * Tracks which start of the target in this VM is the current one.
  *
- * <p>State is used on the control thread only; {@link #current()} is thread safe. Guards against a heartbeat of an
- * ended start that comes late, after a new start has announced itself at the same address: taken for news it would
- * bring the ended start back and every call would be refused as misdirected. Starts are ordered by the time at which
- * they say that they began. Where they don't say it, an id that was replaced or has ended comes back only with two
- * further heartbeats in order, which a single late one never is.
+ * <p>State is used on the control thread only; {@link #current()} is thread safe.
+ *
+ * <p>A heartbeat of an ended start may arrive after a new start has announced itself at the same address. If that
+ * heartbeat made the ended start current again, the target would refuse every call as misdirected. Starts are therefore
+ * ordered by the start times in their heartbeats. If heartbeats contain no start time, an id that has been replaced
+ * becomes current again only after two further heartbeats with increasing sequences, which a single late heartbeat
+ * cannot provide; an id that has ended does not become current again.
  */
 final class LocalTargets {
 
-    /** Ended starts that are remembered: targets restart rarely, and heartbeats are late by seconds. */
-    private static final int REMEMBERED = 64;
+    /** Previous starts to remember: targets restart rarely, and heartbeats arrive late by seconds at most. */
+    private static final int MAX_PREVIOUS = 64;
 
-    private static final int PROOFS = 2;
+    /** Heartbeats with increasing sequences after which a replaced start becomes current again. */
+    private static final int REQUIRED_PROOFS = 2;
 
-    private static final Present NONE = new Present("", Heartbeat.UNKNOWN_START, 0);
+    private static final CurrentStart NONE = new CurrentStart("", Heartbeat.UNKNOWN_START, 0);
 
     private final Executor control;
     private final Consumer<Announcement> announcements;
     private final Runnable onNewStart;
-    private final Map<String, Past> past = new LinkedHashMap<>() {
+    private final Map<String, PreviousStart> previous = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Past> eldest) {
-            return size() > REMEMBERED;
+        protected boolean removeEldestEntry(Map.Entry<String, PreviousStart> eldest) {
+            return size() > MAX_PREVIOUS;
         }
     };
-    private Present present = NONE;
-    private Optional<Announcement> last = Optional.empty();
+    private CurrentStart currentStart = NONE;
+    private Optional<Announcement> lastAnnouncement = Optional.empty();
     private volatile Optional<LocalTarget> current = Optional.empty();
 
     /**
-     * Knows no target yet.
+     * Creates a tracker without a current start.
      *
-     * @param onNewStart runs before the first announcement of each start but the first one
+     * @param onNewStart runs before the first announcement of each start except the first start
      */
     LocalTargets(Executor control, Consumer<Announcement> announcements, Runnable onNewStart) {
         this.control = control;
@@ -53,102 +56,112 @@
         this.onNewStart = onNewStart;
     }
 
-    /** The start that is taken for the present one, and its last sequence. */
-    private record Present(String id, long startedAt, long sequence) {
+    /** The current start and the highest sequence received from it. */
+    private record CurrentStart(String id, long startedAt, long sequence) {
 
         boolean isNone() {
             return id.isEmpty();
         }
     }
 
-    /** A start that is not the present one: when it began, whether it has ended, its last sequence, proofs of life. */
-    private record Past(long startedAt, boolean ended, long sequence, int proofs) {}
+    /**
+     * A start that is not the current one.
+     *
+     * @param ended whether the target has reported its end
+     * @param sequence the highest sequence received from it
+     * @param proofs heartbeats with increasing sequences that were received from it since it was replaced
+     */
+    private record PreviousStart(long startedAt, boolean ended, long sequence, int proofs) {}
 
     Optional<LocalTarget> current() {
         return current;
     }
 
-    /** Takes a heartbeat in; completes when the gate has heard of it. */
-    CompletableFuture<Void> heard(String from, Heartbeat beat) {
-        return CompletableFuture.runAsync(() -> take(from, beat), control);
+    /** Applies a heartbeat; the future completes when the gate has been updated. */
+    CompletableFuture<Void> onHeartbeat(String id, Heartbeat heartbeat) {
+        return CompletableFuture.runAsync(() -> apply(id, heartbeat), control);
     }
 
     /**
-     * The start ends: no new work from now on.
+     * Records the end of a start; the gate admits no new work for it.
      *
-     * @param startedAt when it began, as far as it says so
+     * @param startedAt start time in milliseconds, or {@link Heartbeat#UNKNOWN_START}
      */
-    CompletableFuture<Void> ended(String from, long startedAt) {
-        return CompletableFuture.runAsync(() -> end(from, startedAt), control);
+    CompletableFuture<Void> onEnded(String id, long startedAt) {
+        return CompletableFuture.runAsync(() -> endStart(id, startedAt), control);
     }
 
-    private void take(String from, Heartbeat beat) {
-        if (isPresent(from, beat.startedAtMillis())) {
-            if (beat.sequence() >= present.sequence()) {
-                present = new Present(from, present.startedAt(), beat.sequence());
-                announce(beat.announcement());
+    private void apply(String id, Heartbeat heartbeat) {
+        if (isCurrent(id, heartbeat.startedAtMillis())) {
+            if (heartbeat.sequence() >= currentStart.sequence()) {
+                currentStart = new CurrentStart(id, currentStart.startedAt(), heartbeat.sequence());
+                announce(heartbeat.announcement());
             }
             return;
         }
-        if (isEarlier(beat) || isPast(from, beat)) {
+        if (isEarlier(heartbeat) || isFromPreviousStart(id, heartbeat)) {
             return;
         }
-        begin(from, beat);
+        replaceCurrent(id, heartbeat);
     }
 
-    private boolean isPresent(String from, long startedAt) {
-        return from.equals(present.id()) && startedAt == present.startedAt();
+    private boolean isCurrent(String id, long startedAt) {
+        return id.equals(currentStart.id()) && startedAt == currentStart.startedAt();
     }
 
-    /** Both starts say when they began, and this one began first. */
-    private boolean isEarlier(Heartbeat beat) {
-        boolean known = !present.isNone() && present.startedAt() != Heartbeat.UNKNOWN_START;
-        return known && beat.startedAtMillis() < present.startedAt();
+    /** Whether both start times are known and the heartbeat's start is earlier than the current one. */
+    private boolean isEarlier(Heartbeat heartbeat) {
+        boolean startKnown = !currentStart.isNone() && currentStart.startedAt() != Heartbeat.UNKNOWN_START;
+        return startKnown && heartbeat.startedAtMillis() < currentStart.startedAt();
     }
 
-    private void begin(String from, Heartbeat beat) {
-        if (!present.isNone()) {
-            past.put(present.id(), new Past(present.startedAt(), false, present.sequence(), 0));
+    private void replaceCurrent(String id, Heartbeat heartbeat) {
+        if (!currentStart.isNone()) {
+            previous.put(
+                    currentStart.id(), new PreviousStart(currentStart.startedAt(), false, currentStart.sequence(), 0));
         }
-        past.remove(from);
-        if (last.isPresent()) {
+        previous.remove(id);
+        if (lastAnnouncement.isPresent()) {
             onNewStart.run();
         }
-        present = new Present(from, beat.startedAtMillis(), beat.sequence());
-        current = Optional.of(new LocalTarget(from, beat.announcement().socketAddress()));
-        announce(beat.announcement());
+        currentStart = new CurrentStart(id, heartbeat.startedAtMillis(), heartbeat.sequence());
+        current = Optional.of(new LocalTarget(id, heartbeat.announcement().socketAddress()));
+        announce(heartbeat.announcement());
     }
 
-    private boolean isPast(String from, Heartbeat beat) {
-        Past known = past.get(from);
-        if (known == null || beat.startedAtMillis() > known.startedAt()) {
+    private boolean isFromPreviousStart(String id, Heartbeat heartbeat) {
+        PreviousStart known = previous.get(id);
+        if (known == null || heartbeat.startedAtMillis() > known.startedAt()) {
             return false;
         }
-        int proofs = beat.sequence() > known.sequence() ? known.proofs() + 1 : known.proofs();
-        if (!known.ended() && proofs >= PROOFS) {
+        int proofs = heartbeat.sequence() > known.sequence() ? known.proofs() + 1 : known.proofs();
+        if (!known.ended() && proofs >= REQUIRED_PROOFS) {
             return false;
         }
-        past.put(from, new Past(known.startedAt(), known.ended(), Math.max(known.sequence(), beat.sequence()), proofs));
+        previous.put(
+                id,
+                new PreviousStart(
+                        known.startedAt(), known.ended(), Math.max(known.sequence(), heartbeat.sequence()), proofs));
         return true;
     }
 
-    private void end(String from, long startedAt) {
-        boolean ofPresent = from.equals(present.id());
-        boolean told = startedAt != Heartbeat.UNKNOWN_START;
-        if (ofPresent && told && startedAt < present.startedAt()) {
-            // The end of an earlier start under the same id, come late.
+    private void endStart(String id, long startedAt) {
+        boolean ofCurrent = id.equals(currentStart.id());
+        boolean startKnown = startedAt != Heartbeat.UNKNOWN_START;
+        if (ofCurrent && startKnown && startedAt < currentStart.startedAt()) {
+            // A late notice: an earlier start under the same id has ended.
             return;
         }
-        past.put(from, new Past(ofPresent ? present.startedAt() : startedAt, true, Long.MAX_VALUE, 0));
-        if (ofPresent) {
-            present = NONE;
-            last.ifPresent(known ->
-                    announce(new Announcement(known.service(), known.address(), known.slots(), TargetState.LEAVING)));
+        previous.put(id, new PreviousStart(ofCurrent ? currentStart.startedAt() : startedAt, true, Long.MAX_VALUE, 0));
+        if (ofCurrent) {
+            currentStart = NONE;
+            lastAnnouncement.ifPresent(announced -> announce(new Announcement(
+                    announced.service(), announced.address(), announced.slots(), TargetState.LEAVING)));
         }
     }
 
     private void announce(Announcement announcement) {
-        last = Optional.of(announcement);
+        lastAnnouncement = Optional.of(announcement);
         announcements.accept(announcement);
     }
 }
--- a/src/main/java/io/beryldock/platform/OperatorDocument.java
+++ b/src/main/java/io/beryldock/platform/OperatorDocument.java
@@ -29,48 +29,50 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Reads the document in which the platform's operators keep routes, services and limits.
+ * Decodes the configuration document in which the platform's operators maintain routes, services and limits.
  *
- * <p>Thread safe. Beside the settings it keeps the newest limits of listeners, which belong to no setting of the
- * product.
+ * <p>Thread safe. The decoder also keeps the newest limits of the HTTP listeners, because the product's
+ * configuration has no setting for them.
  */
 final class OperatorDocument implements DocumentDecoder {
 
-    /** Where the operators write it. */
+    /** Store key of the document. */
     static final String KEY = "op/config";
 
-    private static final int HEX = 16;
+    private static final int HEXADECIMAL = 16;
 
-    /** Requests of these types may run more than once. */
+    /** Route types whose requests may run more than once. */
     private static final ImmutableSet<String> IDEMPOTENT_TYPES = ImmutableSet.of("safe", "download");
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** What the document says of retries is a number for one request; the share for a service is in the settings. */
+    /** The document limits the retries of one request only; the share allowed to a service is a node setting. */
     private static final double NO_SHARE = 0;
 
-    /** Largest body that is taken: bodies are held whole, at two copies on a VM of 330 MB. */
-    private static final int HELD_BODY_BYTES = 1 << 20;
+    /** Largest body accepted: bodies are buffered whole, in two copies, on a VM with 330 MB of memory. */
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
     /**
-     * A connection that is closed just as its client sends again costs the client an attempt; clients use one that has
-     * been idle for up to four fifths of the limit, so that the limit itself leaves time to spare.
+     * Limits in force until a document is decoded. A connection that the node closes while the client sends its next
+     * request costs the client an attempt. Clients reuse a connection that has been idle for at most four fifths of the
+     * idle limit, which leaves a sufficient margin.
      */
-    private static final HttpServerLimits FIRST_LIMITS =
-            new HttpServerLimits(16 << 10, HELD_BODY_BYTES, Duration.ofSeconds(3), Duration.ofSeconds(15));
+    private static final HttpServerLimits INITIAL_LIMITS =
+            new HttpServerLimits(16 << 10, MAX_BODY_BYTES, Duration.ofSeconds(3), Duration.ofSeconds(15));
 
-    private final AtomicReference<VersionedLimits> newest = new AtomicReference<>(new VersionedLimits(0, FIRST_LIMITS));
+    private final AtomicReference<VersionedLimits> newestLimits =
+            new AtomicReference<>(new VersionedLimits(0, INITIAL_LIMITS));
 
-    /** Limits and the version of the document that they were read from. Immutable. */
+    /** Limits with the version of the document that contains them. Immutable. */
     private record VersionedLimits(long version, HttpServerLimits limits) {
 
-        static VersionedLimits newer(VersionedLimits one, VersionedLimits other) {
+        static VersionedLimits newerOf(VersionedLimits one, VersionedLimits other) {
             return other.version > one.version ? other : one;
         }
     }
 
     HttpServerLimits limits() {
-        return newest.get().limits();
+        return newestLimits.get().limits();
     }
 
     @Override
@@ -79,67 +81,67 @@
         try {
             root = Json.read(document);
         } catch (IOException e) {
-            throw ConfigurationException.of("document", "it is no JSON: " + e.getMessage(), "write it again");
+            throw ConfigurationException.of("document", "it is not valid JSON: " + e.getMessage(), "write it again");
         }
-        long version = Long.parseUnsignedLong(root.path("version").asText("0"), HEX);
+        long version = Long.parseUnsignedLong(root.path("version").asText("0"), HEXADECIMAL);
         List<Setting> settings = new ArrayList<>();
         for (Map.Entry<String, JsonNode> route : root.path("routes").properties()) {
             addRoute(route.getValue(), settings);
         }
         VersionedLimits limits = new VersionedLimits(version, limits(root.path("limits")));
-        // An older document may come again, from a store that came back from a copy.
-        newest.accumulateAndGet(limits, VersionedLimits::newer);
+        // A store restored from a backup may deliver an older document again.
+        newestLimits.accumulateAndGet(limits, VersionedLimits::newerOf);
         return Configuration.imported(version, settings).withOrganisations(organisations(root.path("tenants")));
     }
 
-    private static OrganisationTable organisations(JsonNode wire) {
+    private static OrganisationTable organisations(JsonNode json) {
         Map<Organisation, List<String>> keys = new LinkedHashMap<>();
-        for (Map.Entry<String, JsonNode> entry : wire.properties()) {
-            List<String> own = new ArrayList<>();
-            entry.getValue().path("apiKeys").forEach(key -> own.add(key.asText()));
-            keys.put(organisation(entry.getKey(), entry.getValue()), own);
+        for (Map.Entry<String, JsonNode> entry : json.properties()) {
+            List<String> apiKeys = new ArrayList<>();
+            entry.getValue().path("apiKeys").forEach(key -> apiKeys.add(key.asText()));
+            keys.put(organisation(entry.getKey(), entry.getValue()), apiKeys);
         }
         return OrganisationTable.of(keys);
     }
 
-    private static Organisation organisation(String name, JsonNode wire) {
-        JsonNode priority = wire.path("priority");
+    private static Organisation organisation(String name, JsonNode json) {
+        JsonNode priority = json.path("priority");
         OptionalInt rank = priority.isIntegralNumber() ? OptionalInt.of(rank(priority)) : OptionalInt.empty();
-        double rate = Math.max(0, wire.path("ratePerS").asDouble());
+        double rate = Math.max(0, json.path("ratePerS").asDouble());
         Quota quota = rate == 0
                 ? Quota.none()
-                : new Quota(rate, Math.max(0, wire.path("burst").asDouble()));
+                : new Quota(rate, Math.max(0, json.path("burst").asDouble()));
         return new Organisation(OrganisationName.of(name), rank, quota);
     }
 
-    private static int rank(JsonNode wire) {
-        return Math.max(0, Math.min(PriorityClass.LOWEST_RANK, wire.asInt()));
+    private static int rank(JsonNode json) {
+        return Math.max(0, Math.min(PriorityClass.LOWEST_RANK, json.asInt()));
     }
 
-    private static void addRoute(JsonNode wire, List<Setting> settings) {
-        int rank = rank(wire.path("priority"));
+    private static void addRoute(JsonNode json, List<Setting> settings) {
+        int rank = rank(json.path("priority"));
         PriorityClass priority = PriorityClass.ofRank(rank);
-        // The wire's name means targets that one request may be sent to, the first one included.
+        // The field counts the targets that one request may be sent to, including the first one.
         int retries = Math.min(
-                RetrySetting.MAX_RETRIES, Math.max(0, wire.path("attempts").asInt(1) - 1));
+                RetrySetting.MAX_RETRIES, Math.max(0, json.path("attempts").asInt(1) - 1));
         RetrySetting budget = new RetrySetting("retries-" + retries, retries, NO_SHARE);
-        ImmutableList<WeightedService> split = split(wire.path("trafficSplit"));
+        ImmutableList<WeightedService> split = split(json.path("trafficSplit"));
         ServiceName service = split.isEmpty()
-                ? ServiceName.of(wire.path("service").asText())
+                ? ServiceName.of(json.path("service").asText())
                 : split.get(0).service();
         Route route = new Route(
-                wire.path("pathPrefix").asText(),
+                json.path("pathPrefix").asText(),
                 ImmutableSet.of(),
                 service,
                 priority.name(),
-                IDEMPOTENT_TYPES.contains(wire.path("type").asText()),
-                seconds(wire.path("timeoutS")),
+                IDEMPOTENT_TYPES.contains(json.path("type").asText()),
+                seconds(json.path("timeoutS")),
                 budget.name());
         settings.add(new ClassSetting(priority));
         settings.add(budget);
-        Route open = route.forHost(wire.path("hostname").asText(), split)
-                .withOpen(wire.path("public").asBoolean());
-        Duration objective = seconds(wire.path("targetLatencyS"));
+        Route open = route.forHost(json.path("hostname").asText(), split)
+                .withOpen(json.path("public").asBoolean());
+        Duration objective = seconds(json.path("targetLatencyS"));
         settings.add(objective.isZero() ? open : open.withObjective(objective));
     }
 
@@ -152,19 +154,19 @@
         return split.build();
     }
 
-    private HttpServerLimits limits(JsonNode wire) {
+    private HttpServerLimits limits(JsonNode json) {
         HttpServerLimits known = limits();
-        if (wire.isMissingNode()) {
+        if (json.isMissingNode()) {
             return known;
         }
         return new HttpServerLimits(
-                wire.path("maxHeaderBytes").asInt(known.maxHeaderBytes()),
-                (int) Math.min(HELD_BODY_BYTES, wire.path("maxBodyBytes").asLong(HELD_BODY_BYTES)),
-                seconds(wire.path("headerTimeoutS")),
-                seconds(wire.path("idleTimeoutS")));
+                json.path("maxHeaderBytes").asInt(known.maxHeaderBytes()),
+                (int) Math.min(MAX_BODY_BYTES, json.path("maxBodyBytes").asLong(MAX_BODY_BYTES)),
+                seconds(json.path("headerTimeoutS")),
+                seconds(json.path("idleTimeoutS")));
     }
 
-    private static Duration seconds(JsonNode wire) {
-        return Duration.ofNanos((long) (wire.asDouble() * NANOS_PER_SECOND));
+    private static Duration seconds(JsonNode json) {
+        return Duration.ofNanos((long) (json.asDouble() * NANOS_PER_SECOND));
     }
 }
--- a/src/main/java/io/beryldock/platform/PlatformHeaders.java
+++ b/src/main/java/io/beryldock/platform/PlatformHeaders.java
@@ -3,34 +3,34 @@
 import io.beryldock.call.Headers;
 import java.util.Optional;
 
-/** Names of the platform's headers. */
+/** Names of the platform's HTTP headers. Stateless, thread safe. */
 final class PlatformHeaders {
 
-    /** Id of one attempt of a client; the target echoes it. */
+    /** Id of one attempt of a client; the target returns it in its response. */
     static final String REQUEST_ID = "X-Beryldock-Request-Id";
 
-    /** Time left for a request, in milliseconds; a duration, not a point in time. */
-    static final String TIME_LEFT_MILLIS = "X-Beryldock-Deadline-Ms";
+    /** Remaining time of a request in milliseconds; a duration, not a point in time. */
+    static final String REMAINING_MILLIS = "X-Beryldock-Deadline-Ms";
 
-    /** The target's signature of its answer, without which a success is none. */
+    /** The target's signature of its response; a success status without it does not count as a success. */
     static final String SIGNATURE = "X-Beryldock-Response-Signature";
 
-    /** Id of the target's start that alone may run the request. */
+    /** Id of the only start of the target that may run the request. */
     static final String EXPECTED_TARGET = "X-Beryldock-Expected-Instance";
 
-    /** Marks a refusal: the target did not run the request. */
+    /** Marks a response with which the target refused the request without running it. */
     static final String NOT_EXECUTED = "X-Beryldock-Not-Executed";
 
-    /** Service of the VM where the request began. */
+    /** Service of the VM in which the request originated. */
     static final String CALLER_SERVICE = "X-Beryldock-Caller-Service";
 
-    /** Key of the organisation for which a client asks; never passed on. */
+    /** API key of the organisation on whose behalf a client sends the request; never forwarded. */
     static final String CREDENTIAL = "X-Beryldock-Credential";
 
-    /** Name of the organisation, told to the target whatever the client sent under this name. */
+    /** Name of the organisation, set by the node for the target; a value sent by the client is discarded. */
     static final String ORGANISATION = "X-Beryldock-Tenant-Id";
 
-    /** Number of the store's era, in all of its answers; it rises when the store comes back from an older copy. */
+    /** Number of the store's era, in all of its responses; increases when the store is restored from a backup. */
     static final String STORE_ERA = "Store-Era";
 
     static final String RETRY_AFTER = "Retry-After";
@@ -41,18 +41,18 @@
     private PlatformHeaders() {}
 
     /**
-     * The id of the request within whose run this one was made, as far as the id can tell.
+     * The id of the parent request, during whose execution the target made this request, if the id contains it.
      *
-     * <p>Targets are seen to put their own request's id and a dot before the ids of their calls; nothing promises it,
-     * so it counts only when the target runs a request of that id.
+     * <p>Targets usually prefix the ids of their inner calls with the id of their own request and a dot. No contract
+     * guarantees this, so callers must use the result only if the target is running a request with that id.
      */
     static Optional<String> parentOf(String requestId) {
         int dot = requestId.lastIndexOf(PARENT_SEPARATOR);
         return dot <= 0 ? Optional.empty() : Optional.of(requestId.substring(0, dot));
     }
 
-    /** Whether a response carries the id of the request. */
-    static boolean answers(String requestId, Headers response) {
+    /** Whether the response contains the id of the request. */
+    static boolean isResponseTo(String requestId, Headers response) {
         return response.first(REQUEST_ID).filter(requestId::equals).isPresent();
     }
 }
--- a/src/main/java/io/beryldock/platform/PlatformNode.java
+++ b/src/main/java/io/beryldock/platform/PlatformNode.java
@@ -27,22 +27,22 @@
 import java.time.Duration;
 import java.util.function.Supplier;
 
-/** A node on the users' platform. Thread safe; stopped once. */
+/** A node that runs on the users' platform. Thread safe; may be stopped once. */
 public final class PlatformNode {
 
-    /** A VM has about one core; with one thread a request is handed between none. */
+    /** A VM has about one core, and a single thread avoids handing requests over between threads. */
     private static final int TRAFFIC_THREADS = 1;
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
 
-    /** Bounds towards the target: it is on the same VM and closes idle connections after some seconds. */
-    private static final HttpClientSettings TO_TARGET =
+    /** Settings for the target, which runs in the same VM and closes idle connections after a few seconds. */
+    private static final HttpClientSettings TARGET_CLIENT =
             new HttpClientSettings(Duration.ofSeconds(1), Duration.ofSeconds(4), Duration.ofSeconds(1), 1 << 20);
 
-    /** Bounds towards the store, whose values hold up to a megabyte, a third more as text. */
-    private static final HttpClientSettings TO_STORE =
+    /** Settings for the store, whose values hold up to a megabyte and are a third longer as Base64 text. */
+    private static final HttpClientSettings STORE_CLIENT =
             new HttpClientSettings(Duration.ofSeconds(1), Duration.ofSeconds(10), Duration.ofSeconds(1), 4 << 20);
 
     private final NodeCore core;
@@ -62,13 +62,13 @@
         SharedResources shared = SharedResources.startWithoutTargetClient(TRAFFIC_THREADS);
         EventLoops loops = shared.traffic();
         OperatorDocument document = new OperatorDocument();
-        HttpClient storeClient = HttpClient.create(TO_STORE, loops);
+        HttpClient storeClient = HttpClient.create(STORE_CLIENT, loops);
         NodeCore core = NodeCore.assemble(
                 settings.node(),
                 shared,
                 ControlLoop.on(loops.next()),
                 timers -> KvStoreClient.create(settings.storeAddress(), storeClient),
-                new PlatformModule(settings, HttpClient.create(TO_TARGET, loops), document));
+                new PlatformModule(settings, HttpClient.create(TARGET_CLIENT, loops), document));
         bind(settings, core, loops, document::limits);
         core.control().run(() -> {
             core.startControl();
@@ -109,23 +109,24 @@
         return configuration.current().version() > Configuration.DEFAULTS_VERSION;
     }
 
-    /** Ready once a configuration is known: a node that knows no route could only refuse. */
+    /** A node is ready once it has a configuration: without routes it could only refuse requests. */
     private static void answerReadiness(HttpExchange exchange, ConfigurationKeeper configuration, NodeHealth health) {
         boolean ready = isConfigured(configuration) && !health.isStopping();
         exchange.answer(HttpAnswer.of(ready ? OK : UNAVAILABLE));
     }
 
-    /** Reads changed settings to tell whether they are sound; they take effect with the next start. */
+    /** Validates changed settings and logs the result; the settings take effect at the next start. */
     public static void checkChanged(Path file) {
         try {
             SettingsReader.readSelfChecked(file, PlatformSettings.class);
-            log.atInfo().log("settings %s were read again; what changed takes effect with the next start", file);
+            log.atInfo().log("changed settings %s are valid; the changes take effect at the next start", file);
         } catch (SettingsException e) {
-            log.atSevere().log("changed settings %s: %s; the node runs on with those it has", file, e.getMessage());
+            log.atSevere().log(
+                    "changed settings %s are invalid: %s; the node keeps its current settings", file, e.getMessage());
         }
     }
 
-    /** Stops without cutting off a request. */
+    /** Stops the node gracefully: requests in flight are completed first. */
     public void stop() throws InterruptedException {
         core.stop();
         core.close();
--- a/src/main/java/io/beryldock/platform/PlatformTargetClient.java
+++ b/src/main/java/io/beryldock/platform/PlatformTargetClient.java
@@ -18,10 +18,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Sends calls to the target in this VM in the platform's headers. Thread safe. */
+/** Sends calls to the target in this VM, with the platform's headers. Thread safe. */
 final class PlatformTargetClient implements TargetClient {
 
-    private static final int MISDIRECTED = 421;
+    private static final int MISDIRECTED_REQUEST = 421;
     private static final int FIRST_SUCCESS = 200;
     private static final int FIRST_REDIRECTION = 300;
 
@@ -40,29 +40,29 @@
             return TargetExchange.unabortable(CompletableFuture.completedFuture(
                     TargetReply.notSent("the target does not announce itself any more")));
         }
-        // A target that was full never answers, and never again on that connection.
+        // A target whose slots were all in use never answers the request, nor any later one on that connection.
         Duration limit = Duration.ofNanos(call.context().remainingNanos()).plus(LATE);
         CompletableFuture<HttpReply> reply = client.send(current.get().address(), request(call, current.get()), limit);
-        CompletableFuture<TargetReply> told =
+        CompletableFuture<TargetReply> result =
                 reply.handle((answer, failure) -> failure == null ? read(answer) : classify(failure));
-        return new TargetExchange(told, () -> reply.cancel(false));
+        return new TargetExchange(result, () -> reply.cancel(false));
     }
 
     private static HttpCall request(Call call, LocalTarget current) {
         long millis = TimeUnit.NANOSECONDS.toMillis(call.context().remainingNanos());
-        Headers timed = call.headers()
-                .with(PlatformHeaders.TIME_LEFT_MILLIS, Long.toString(millis))
+        Headers withDeadline = call.headers()
+                .with(PlatformHeaders.REMAINING_MILLIS, Long.toString(millis))
                 .with(PlatformHeaders.EXPECTED_TARGET, current.id());
         Headers headers = call.organisation()
-                .map(name -> timed.with(PlatformHeaders.ORGANISATION, name.value()))
-                .orElse(timed);
+                .map(name -> withDeadline.with(PlatformHeaders.ORGANISATION, name.value()))
+                .orElse(withDeadline);
         String id = call.headers().first(PlatformHeaders.REQUEST_ID).orElse("");
         return new HttpCall(
                 call.method(),
                 call.path(),
                 headers,
                 call.body(),
-                response -> id.isEmpty() || isRefusal(response) || PlatformHeaders.answers(id, response),
+                response -> id.isEmpty() || isRefusal(response) || PlatformHeaders.isResponseTo(id, response),
                 !call.idempotent());
     }
 
@@ -72,8 +72,9 @@
     }
 
     private static TargetReply read(HttpReply reply) {
-        boolean marked = reply.headers().first(PlatformHeaders.NOT_EXECUTED).isPresent();
-        if (marked || reply.status() == MISDIRECTED) {
+        boolean notExecuted =
+                reply.headers().first(PlatformHeaders.NOT_EXECUTED).isPresent();
+        if (notExecuted || reply.status() == MISDIRECTED_REQUEST) {
             return TargetReply.refused("the target answered " + reply.status() + " and says that it did not run it");
         }
         boolean success = reply.status() >= FIRST_SUCCESS && reply.status() < FIRST_REDIRECTION;
--- a/src/main/java/io/beryldock/platform/SoakSurroundings.java
+++ b/src/main/java/io/beryldock/platform/SoakSurroundings.java
@@ -38,7 +38,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The surroundings of a fault soak in the platform's words: stand-ins of store, targets, callers and operators. */
+/**
+ * The environment of a soak test on the platform's protocols: stand-ins for the store, targets, callers and operators.
+ */
 public final class SoakSurroundings implements Surroundings {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
@@ -47,44 +49,47 @@
     private static final String DATA_CENTRE = "soak-centre";
     private static final int SLOTS = 8;
 
-    /** A lost attempt loses its part of a request's retries; of four so many are left that one more could be made. */
+    /**
+     * Attempts of a request. A lost attempt also loses its part of the request's retries; with four attempts, enough
+     * retries remain for one further attempt.
+     */
     private static final int ATTEMPTS = 4;
 
     private static final int THREADS = 2;
     private static final long CALLER_MILLIS = 4_000;
 
-    /** Beyond its own time a caller looks for an answer a little longer, as late ones are delivered too. */
-    private static final Duration CALLER_LIMIT = Duration.ofMillis(CALLER_MILLIS + 500);
+    /** A caller waits slightly longer than its own deadline, because late responses are delivered too. */
+    private static final Duration CALLER_TIMEOUT = Duration.ofMillis(CALLER_MILLIS + 500);
 
-    private static final Duration ASK_LIMIT = Duration.ofSeconds(1);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(1);
     private static final double MILLIS_PER_SECOND = 1000;
-    private static final Duration COPY_PERIOD = Duration.ofSeconds(1);
+    private static final Duration SNAPSHOT_PERIOD = Duration.ofSeconds(1);
 
-    /** The store comes back from a copy that is so many periods old. */
-    private static final int COPIES_KEPT = 6;
+    /** Number of snapshots kept; the store is restored from the oldest one. */
+    private static final int SNAPSHOTS_KEPT = 6;
 
-    private static final HttpServerLimits LIMITS =
+    private static final HttpServerLimits SERVER_LIMITS =
             new HttpServerLimits(16 << 10, 1 << 20, Duration.ofSeconds(10), Duration.ofSeconds(60));
-    private static final HttpClientSettings CLIENT =
+    private static final HttpClientSettings CLIENT_SETTINGS =
             new HttpClientSettings(Duration.ofSeconds(1), Duration.ofSeconds(4), Duration.ofSeconds(1), 1 << 20);
 
     private final EventLoops loops = EventLoops.create("standin", THREADS);
     private final ThreadTimerService timers = ThreadTimerService.start("standin-timer", Runnable::run);
     private final StandinStore store = new StandinStore(timers);
-    private final HttpClient client = HttpClient.create(CLIENT, loops);
-    private final AtomicLong beats = new AtomicLong();
-    private final TreeSet<Long> versions = new TreeSet<>();
-    private final Deque<StandinStore.Copy> copies = new ArrayDeque<>();
-    private ByteString newest = ByteString.EMPTY;
+    private final HttpClient client = HttpClient.create(CLIENT_SETTINGS, loops);
+    private final AtomicLong heartbeatSequence = new AtomicLong();
+    private final TreeSet<Long> publishedVersions = new TreeSet<>();
+    private final Deque<StandinStore.Snapshot> snapshots = new ArrayDeque<>();
+    private ByteString newestDocument = ByteString.EMPTY;
     private final HttpServer storeServer;
 
     private SoakSurroundings() throws IOException, InterruptedException {
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        this.storeServer = HttpServer.bind(any, loops, () -> LIMITS, store);
-        timers.every(COPY_PERIOD, this::copyStore);
+        this.storeServer = HttpServer.bind(any, loops, () -> SERVER_LIMITS, store);
+        timers.every(SNAPSHOT_PERIOD, this::takeSnapshot);
     }
 
-    /** Starts the store. */
+    /** Starts the store stand-in. */
     public static SoakSurroundings start() throws IOException, InterruptedException {
         return new SoakSurroundings();
     }
@@ -99,7 +104,7 @@
             throws IOException, InterruptedException {
         SoakTarget target = new SoakTarget(place, targetId(place), events, this::send, timers);
         InetSocketAddress any = new InetSocketAddress(place.requests().getAddress(), 0);
-        return HttpServer.bind(any, loops, () -> LIMITS, target).address();
+        return HttpServer.bind(any, loops, () -> SERVER_LIMITS, target).address();
     }
 
     private static String targetId(NodePlace place) {
@@ -116,13 +121,14 @@
                 .put("slots", SLOTS);
         body.putObject("status")
                 .put("state", "ready")
-                .put("sequence", beats.incrementAndGet())
+                .put("sequence", heartbeatSequence.incrementAndGet())
                 .put("coldRemainingS", 0);
         Headers headers = Headers.empty().with(PlatformHeaders.HOST, "node");
-        HttpCall beat = HttpCall.of("PUT", "/instances/" + targetId(place), headers, Json.write(body));
-        client.send(place.heartbeats(), beat, ASK_LIMIT).whenComplete((reply, failure) -> {
+        HttpCall heartbeat = HttpCall.of("PUT", "/instances/" + targetId(place), headers, Json.write(body));
+        client.send(place.heartbeats(), heartbeat, REQUEST_TIMEOUT).whenComplete((reply, failure) -> {
             if (failure != null) {
-                log.atFine().withCause(failure).log("%s did not hear its target; it may be down", place.name());
+                log.atFine().withCause(failure).log(
+                        "%s did not receive the heartbeat of its target; the node may be down", place.name());
             }
         });
     }
@@ -161,27 +167,27 @@
 
     @Override
     public synchronized void publish(long version, ImmutableSet<String> keys) {
-        newest = Json.write(document(version, keys));
-        store.write(OperatorDocument.KEY, newest);
+        newestDocument = Json.write(document(version, keys));
+        store.write(OperatorDocument.KEY, newestDocument);
     }
 
     private ObjectNode document(long version, Set<String> keys) {
-        versions.add(version);
+        publishedVersions.add(version);
         ObjectNode document = Json.object().put("version", String.format(Locale.ROOT, "%08x", version));
         ObjectNode routes = document.putObject("routes");
         route(routes, "order", Use.ORDER, false);
         route(routes, "browse", Use.BROWSE, false);
         route(routes, "part", Use.PART, true);
-        versions.forEach(each -> route(routes, "v" + each, Use.PROBE, true));
+        publishedVersions.forEach(published -> route(routes, "v" + published, Use.PROBE, true));
         document.putObject("services");
         document.putObject("limits")
-                .put("maxHeaderBytes", LIMITS.maxHeaderBytes())
-                .put("maxBodyBytes", LIMITS.maxBodyBytes())
+                .put("maxHeaderBytes", SERVER_LIMITS.maxHeaderBytes())
+                .put("maxBodyBytes", SERVER_LIMITS.maxBodyBytes())
                 .put("headerTimeoutS", 3)
                 .put("idleTimeoutS", 15);
         ObjectNode organisation = document.putObject("tenants").putObject(ORGANISATION);
-        ArrayNode held = organisation.putArray("apiKeys");
-        keys.forEach(held::add);
+        ArrayNode apiKeys = organisation.putArray("apiKeys");
+        keys.forEach(apiKeys::add);
         organisation.put("priority", 1);
         return document;
     }
@@ -201,7 +207,7 @@
 
     @Override
     public void setStore(StoreState state) {
-        store.set(
+        store.setFault(
                 switch (state) {
                     case SOUND -> StandinStore.Fault.NONE;
                     case REFUSING -> StandinStore.Fault.BUSY;
@@ -211,7 +217,7 @@
 
     @Override
     public void lapseLeases() {
-        store.lapseLeases();
+        store.expireLeases();
     }
 
     @Override
@@ -219,28 +225,28 @@
         store.dropHistory();
     }
 
-    private synchronized void copyStore() {
-        copies.addLast(store.copy());
-        if (copies.size() > COPIES_KEPT) {
-            copies.removeFirst();
+    private synchronized void takeSnapshot() {
+        snapshots.addLast(store.snapshot());
+        if (snapshots.size() > SNAPSHOTS_KEPT) {
+            snapshots.removeFirst();
         }
     }
 
     @Override
     public synchronized void restoreStore() {
-        if (copies.isEmpty()) {
+        if (snapshots.isEmpty()) {
             return;
         }
-        store.comeBackFrom(copies.getFirst());
-        store.write(OperatorDocument.KEY, newest);
-        copies.clear();
+        store.restoreFrom(snapshots.getFirst());
+        store.write(OperatorDocument.KEY, newestDocument);
+        snapshots.clear();
     }
 
     @Override
     public CompletableFuture<Void> askReadiness(InetSocketAddress address) {
         Headers headers = Headers.empty().with(PlatformHeaders.HOST, "node");
         HttpCall call = HttpCall.of("GET", "/readiness", headers, ByteString.EMPTY);
-        return client.send(address, call, ASK_LIMIT).thenAccept(reply -> {});
+        return client.send(address, call, REQUEST_TIMEOUT).thenAccept(reply -> {});
     }
 
     @Override
@@ -252,17 +258,18 @@
         String prefix = request.use() == Use.PROBE
                 ? "v" + request.version()
                 : request.use().name().toLowerCase(Locale.ROOT);
-        Headers plain = Headers.empty()
+        Headers withoutKey = Headers.empty()
                 .with(PlatformHeaders.HOST, HOST)
                 .with(PlatformHeaders.REQUEST_ID, request.id())
-                .with(PlatformHeaders.TIME_LEFT_MILLIS, Long.toString(millis));
-        Headers headers = request.key().isEmpty() ? plain : plain.with(PlatformHeaders.CREDENTIAL, request.key());
+                .with(PlatformHeaders.REMAINING_MILLIS, Long.toString(millis));
+        Headers headers =
+                request.key().isEmpty() ? withoutKey : withoutKey.with(PlatformHeaders.CREDENTIAL, request.key());
         HttpCall call = HttpCall.of(
                 request.use().idempotent() ? "GET" : "POST",
                 "/" + prefix + "/" + request.id(),
                 headers,
                 ByteString.copyFromUtf8(request.body()));
-        return client.send(place.requests(), call, CALLER_LIMIT).handle(SoakSurroundings::outcome);
+        return client.send(place.requests(), call, CALLER_TIMEOUT).handle(SoakSurroundings::outcome);
     }
 
     private static Outcome outcome(HttpReply reply, Throwable failure) {
--- a/src/main/java/io/beryldock/platform/SoakTarget.java
+++ b/src/main/java/io/beryldock/platform/SoakTarget.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A target of a fault soak: works a while, makes an inner call where its service does, and answers.
+ * A target for the soak test: simulates work, makes an inner call if its service does so, and responds.
  *
- * <p>Thread safe. Invariant: it tells of each run before any byte of its answer leaves.
+ * <p>Thread safe. Invariant: each execution is reported before the first byte of its response is sent.
  */
 final class SoakTarget implements HttpHandler {
 
@@ -28,10 +28,10 @@
     private static final int FAILED = 500;
     private static final String BROWSE_PATH = "/browse/";
 
-    /** Work of 5 to 100 ms, so that faults meet requests at work. */
-    private static final int SHORTEST_MILLIS = 5;
+    /** The simulated work takes 5 to 100 ms, so that faults hit requests while they run. */
+    private static final int MIN_WORK_MILLIS = 5;
 
-    private static final int SPREAD_MILLIS = 95;
+    private static final int WORK_RANGE_MILLIS = 95;
 
     private final NodePlace place;
     private final String id;
@@ -52,7 +52,7 @@
     @FunctionalInterface
     interface InnerCaller {
 
-        CompletableFuture<Outcome> send(NodePlace place, CallerRequest request, long millisLeft);
+        CompletableFuture<Outcome> send(NodePlace place, CallerRequest request, long remainingMillis);
     }
 
     @Override
@@ -65,26 +65,26 @@
         String request = headers.first(PlatformHeaders.REQUEST_ID).orElse("");
         String body = exchange.body().toString(StandardCharsets.UTF_8);
         events.ran(place.number(), request, place.service(), body);
-        int millis = SHORTEST_MILLIS + Math.floorMod(request.hashCode(), SPREAD_MILLIS);
+        int millis = MIN_WORK_MILLIS + Math.floorMod(request.hashCode(), WORK_RANGE_MILLIS);
         timers.after(Duration.ofMillis(millis), () -> {
             if (exchange.uri().startsWith(BROWSE_PATH)) {
-                callPart(exchange, request, body, millis);
+                sendInnerCall(exchange, request, body, millis);
             } else {
                 answer(exchange, request, body, OK);
             }
         });
     }
 
-    /** A request that runs again makes its call again, under another id. */
-    private void callPart(HttpExchange exchange, String request, String body, int spentMillis) {
-        long left = exchange.headers()
-                        .first(PlatformHeaders.TIME_LEFT_MILLIS)
+    /** Makes the inner call of a request; a request that runs again makes the call again under a new id. */
+    private void sendInnerCall(HttpExchange exchange, String request, String body, int spentMillis) {
+        long remaining = exchange.headers()
+                        .first(PlatformHeaders.REMAINING_MILLIS)
                         .map(Long::parseLong)
                         .orElse(0L)
                 - spentMillis;
         CallerRequest part = CallerRequest.part(request + "." + place.number() + "-" + innerCalls.incrementAndGet());
         events.sent(place.number(), part);
-        caller.send(place, part, left)
+        caller.send(place, part, remaining)
                 .thenAccept(outcome ->
                         answer(exchange, request, body, outcome.reply().isSuccess() ? OK : FAILED));
     }
--- a/src/main/java/io/beryldock/platform/StandinJson.java
+++ b/src/main/java/io/beryldock/platform/StandinJson.java
@@ -6,7 +6,7 @@
 import io.beryldock.nettyhttp.HttpAnswer;
 import java.util.Base64;
 
-/** The answers of the stand-in of the store. Stateless, thread safe. */
+/** Encodes the JSON responses of the store stand-in. Stateless, thread safe. */
 final class StandinJson {
 
     private static final int CONDITION_FAILED = 412;
@@ -19,17 +19,17 @@
     }
 
     /**
-     * The key is not as the condition has it.
+     * The response to a write whose condition does not hold.
      *
-     * @param held what stands under the key, or null for nothing
+     * @param stored the item stored under the key, or null if there is none
      */
-    static HttpAnswer conflict(String key, StandinStore.Item held) {
+    static HttpAnswer conflict(String key, StandinStore.Item stored) {
         ObjectNode body = Json.object();
         ArrayNode list = body.putArray("items");
-        if (held == null) {
+        if (stored == null) {
             list.addObject().put("key", key).put("revision", 0);
         } else {
-            list.add(item(key, held));
+            list.add(item(key, stored));
         }
         return answer(CONDITION_FAILED, body);
     }
--- a/src/main/java/io/beryldock/platform/StandinPlatform.java
+++ b/src/main/java/io/beryldock/platform/StandinPlatform.java
@@ -29,14 +29,15 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * A platform in small on the loopback interface: a store, a target with its node and another node, for the run in which
- * the Java virtual machine records the classes that a node loads. Its client has the key of an organisation with a
- * quota. Thread safe; closed once.
+ * A minimal platform on the loopback interface: a store, a target with its node, and a second node. It serves the
+ * training run in which the Java virtual machine records the classes that a node loads. Its client has the API key of
+ * an organisation with a quota. Thread safe; may be closed once.
  */
 public final class StandinPlatform implements AutoCloseable {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
-    /** Thread of the stand-ins and of the client, apart from those of the nodes. */
+
+    /** Name of the threads of the stand-ins and of the client; the threads of the nodes have other names. */
     public static final String THREAD_NAME = "standin";
 
     private static final String HOST = "trial.example";
@@ -47,11 +48,11 @@
     private static final int BAD_REQUEST = 400;
     private static final int SLOTS = 8;
     private static final int OK = 200;
-    private static final int TRIES_FOR_ONE = 4;
-    private static final int BEAT_EACH = 50;
-    private static final long PAUSE_MILLIS = 50;
-    private static final long ANSWER_SECONDS = 5;
-    private static final HttpServerLimits LIMITS =
+    private static final int MAX_ATTEMPTS_PER_SUCCESS = 4;
+    private static final int REQUESTS_PER_HEARTBEAT = 50;
+    private static final long RETRY_PAUSE_MILLIS = 50;
+    private static final long RESPONSE_TIMEOUT_SECONDS = 5;
+    private static final HttpServerLimits SERVER_LIMITS =
             new HttpServerLimits(16 << 10, 1 << 20, Duration.ofSeconds(3), Duration.ofSeconds(15));
     private static final String DOCUMENT = """
             {"version":"00000001","routes":{"r1":{"hostname":"%s","pathPrefix":"/trial/","type":"safe","timeoutS":5,
@@ -66,8 +67,8 @@
     private final HttpClient client;
     private final InetSocketAddress storeAddress;
     private final InetSocketAddress targetAddress;
-    private InetSocketAddress requests;
-    private InetSocketAddress heartbeats;
+    private InetSocketAddress requestAddress;
+    private InetSocketAddress heartbeatAddress;
 
     private StandinPlatform(EventLoops loops, ThreadTimerService timers, StandinStore store)
             throws IOException, InterruptedException {
@@ -77,8 +78,8 @@
                 new HttpClientSettings(Duration.ofSeconds(1), Duration.ofSeconds(4), Duration.ofSeconds(1), 1 << 20),
                 loops);
         this.storeAddress =
-                HttpServer.bind(loopback(0), loops, () -> LIMITS, store).address();
-        this.targetAddress = HttpServer.bind(loopback(0), loops, () -> LIMITS, StandinPlatform::runTarget)
+                HttpServer.bind(loopback(0), loops, () -> SERVER_LIMITS, store).address();
+        this.targetAddress = HttpServer.bind(loopback(0), loops, () -> SERVER_LIMITS, StandinPlatform::respondAsTarget)
                 .address();
     }
 
@@ -95,10 +96,10 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** Answers as a target does; one that is told the organisation's key, or not its name, fails. */
-    private static void runTarget(HttpExchange exchange) {
-        boolean told = exchange.headers().all(PlatformHeaders.ORGANISATION).equals(ImmutableList.of(ORGANISATION));
-        if (!told || exchange.headers().first(PlatformHeaders.CREDENTIAL).isPresent()) {
+    /** Responds as a target does; refuses a request that has the organisation's API key or lacks its name. */
+    private static void respondAsTarget(HttpExchange exchange) {
+        boolean hasName = exchange.headers().all(PlatformHeaders.ORGANISATION).equals(ImmutableList.of(ORGANISATION));
+        if (!hasName || exchange.headers().first(PlatformHeaders.CREDENTIAL).isPresent()) {
             exchange.answer(HttpAnswer.of(BAD_REQUEST));
             return;
         }
@@ -111,8 +112,10 @@
     }
 
     /**
-     * Starts two nodes, sends so many requests from the one to the target of the other and tells how many were answered
-     * with success.
+     * Starts two nodes and sends requests from one node to the target of the other.
+     *
+     * @param number requests that must succeed
+     * @return number of requests that succeeded
      */
     public int exercise(int number) throws IOException, InterruptedException, SettingsException, PeerStartException {
         startNodes();
@@ -121,25 +124,30 @@
 
     /** Starts the two nodes. */
     public void startNodes() throws IOException, InterruptedException, SettingsException, PeerStartException {
-        PlatformSettings.Listeners atTarget = startNode("trial-node-1");
-        PlatformSettings.Listeners atEntry = startNode("trial-node-2");
-        requests = Addresses.parse(atEntry.requests());
-        heartbeats = Addresses.parse(atTarget.heartbeats());
+        PlatformSettings.Listeners targetNode = startNode("trial-node-1");
+        PlatformSettings.Listeners entryNode = startNode("trial-node-2");
+        requestAddress = Addresses.parse(entryNode.requests());
+        heartbeatAddress = Addresses.parse(targetNode.heartbeats());
     }
 
-    /** Sends so many requests one after the other, and tells how many were answered with success. */
+    /**
+     * Sends requests one after the other until the number of successes is reached or the attempts are used up.
+     *
+     * @param number requests that must succeed
+     * @return number of requests that succeeded
+     */
     public int request(int number) throws InterruptedException {
-        int served = 0;
-        for (int i = 0; i < TRIES_FOR_ONE * number && served < number; i++) {
-            if (i % BEAT_EACH == 0) {
-                beat(heartbeats, i);
+        int succeeded = 0;
+        for (int i = 0; i < MAX_ATTEMPTS_PER_SUCCESS * number && succeeded < number; i++) {
+            if (i % REQUESTS_PER_HEARTBEAT == 0) {
+                sendHeartbeat(heartbeatAddress, i);
             }
-            served += request(requests, i) == OK ? 1 : 0;
-            if (served == 0) {
-                Thread.sleep(PAUSE_MILLIS);
+            succeeded += request(requestAddress, i) == OK ? 1 : 0;
+            if (succeeded == 0) {
+                Thread.sleep(RETRY_PAUSE_MILLIS);
             }
         }
-        return served;
+        return succeeded;
     }
 
     private PlatformSettings.Listeners startNode(String id)
@@ -156,7 +164,9 @@
         return listeners;
     }
 
-    /** As a file, since a node reads one: the classes that read settings belong to its start. */
+    /**
+     * The content of a settings file. Nodes read a file here too, so that the classes that read settings are loaded.
+     */
     private String settingsOf(String id, PlatformSettings.Listeners listeners) {
         return """
                 {"id":"%s","dataCentre":"trial-centre","address":"127.0.0.1","service":"%s",
@@ -180,7 +190,7 @@
         }
     }
 
-    private void beat(InetSocketAddress address, int sequence) throws InterruptedException {
+    private void sendHeartbeat(InetSocketAddress address, int sequence) throws InterruptedException {
         String body = """
                 {"address":"127.0.0.1:%d","info":{"service":"%s","version":"v1","zone":"trial-centre","slots":%d},
                 "status":{"state":"ready","sequence":%d,"coldRemainingS":0}}
@@ -189,17 +199,17 @@
         send(address, HttpCall.of("PUT", "/instances/" + TARGET, headers, ByteString.copyFromUtf8(body)));
     }
 
-    /** Sends requests that nodes refuse: without a key, with an unknown one, and on a path without a route. */
+    /** Sends requests that nodes refuse: without a key, with an unknown key, and on a path without a route. */
     public void requestRefusals() throws InterruptedException {
         requestWithKey("");
         requestWithKey("unknown-key");
         Headers headers = Headers.empty().with(PlatformHeaders.HOST, HOST).with(PlatformHeaders.CREDENTIAL, KEY);
-        send(requests, HttpCall.of("GET", "/no-route", headers, ByteString.EMPTY));
+        send(requestAddress, HttpCall.of("GET", "/no-route", headers, ByteString.EMPTY));
     }
 
-    /** One request of a client that names the key, and another organisation than the key's, and its status. */
+    /** Sends a request with the key and the name of an organisation other than the key's; returns the status. */
     int requestWithKey(String key) throws InterruptedException {
-        return request(requests, 0, key);
+        return request(requestAddress, 0, key);
     }
 
     private int request(InetSocketAddress address, int number) throws InterruptedException {
@@ -212,17 +222,17 @@
                 .with(PlatformHeaders.CREDENTIAL, key)
                 .with(PlatformHeaders.ORGANISATION, "another-organisation")
                 .with(PlatformHeaders.REQUEST_ID, "request-" + number)
-                .with(PlatformHeaders.TIME_LEFT_MILLIS, "5000");
+                .with(PlatformHeaders.REMAINING_MILLIS, "5000");
         return send(address, HttpCall.of("GET", "/trial/" + number, headers, ByteString.EMPTY));
     }
 
-    /** The status, 0 without an answer. */
+    /** Sends the call; returns the status, or 0 if there was no response. */
     private int send(InetSocketAddress address, HttpCall call) throws InterruptedException {
         try {
-            HttpReply reply = client.send(address, call).get(ANSWER_SECONDS, TimeUnit.SECONDS);
+            HttpReply reply = client.send(address, call).get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             return reply.status();
         } catch (ExecutionException | TimeoutException e) {
-            log.atWarning().withCause(e).log("a trial request got no answer and counts as not served");
+            log.atWarning().withCause(e).log("a trial request got no response and counts as not served");
             return 0;
         }
     }
--- a/src/main/java/io/beryldock/platform/StandinStore.java
+++ b/src/main/java/io/beryldock/platform/StandinStore.java
@@ -19,10 +19,10 @@
 import java.util.TreeMap;
 
 /**
- * A stand-in of the platform's store for tests and for trial runs: keys, leases and watches in memory, with faults that
- * can be switched on.
+ * In-memory stand-in for the platform's store, for tests and trial runs: keys, leases and watches, with faults that can
+ * be injected.
  *
- * <p>Thread safe. The revision rises with each change; history is kept until it is dropped.
+ * <p>Thread safe. The revision increases with each change; the history of changes is kept until it is dropped.
  */
 final class StandinStore implements HttpHandler {
 
@@ -46,73 +46,73 @@
         this.timers = timers;
     }
 
-    /** How the store misbehaves. */
+    /** Faults that can be injected. */
     enum Fault {
         NONE,
-        /** Calls are refused and nothing is done. */
+        /** Calls are refused and have no effect. */
         BUSY,
-        /** Calls get no answer and nothing is done. */
+        /** Calls get no response and have no effect. */
         SILENT,
-        /** Writes are done and their answers are lost. */
+        /** Writes are applied, but their responses are lost. */
         ANSWER_LOST
     }
 
-    /** A value under a key, with its last change. Immutable. */
+    /** The value of a key with the revision of its last change and its lease, 0 for none. Immutable. */
     record Item(ByteString value, long revision, long lease) {}
 
-    /** A change of a key; the item is null for a removal. Immutable. */
+    /** A change of a key; the item is null if the key was removed. Immutable. */
     record Event(String key, Item item, long revision) {}
 
     private record Watch(HttpExchange exchange, String prefix, long after) {}
 
-    /** Switches a fault on, or off with {@link Fault#NONE}. */
-    synchronized void set(Fault next) {
-        fault = next;
+    /** Injects the fault in place of the current one; {@link Fault#NONE} ends it. */
+    synchronized void setFault(Fault newFault) {
+        fault = newFault;
     }
 
-    /** Writes as the operators do, without any condition. */
+    /** Writes unconditionally, as operators do. */
     synchronized void write(String key, ByteString value) {
         put(key, value, 0);
         notifyWatches();
     }
 
-    synchronized boolean holds(String key) {
+    synchronized boolean contains(String key) {
         return items.containsKey(key);
     }
 
-    /** Ends all leases, as in an outage that outlasts them. */
-    synchronized void lapseLeases() {
+    /** Expires all leases, as an outage longer than their duration does. */
+    synchronized void expireLeases() {
         List<String> keys = leases.values().stream().flatMap(List::stream).toList();
         leases.clear();
         keys.forEach(this::remove);
         notifyWatches();
     }
 
-    /** What the store holds now, to come back from later. */
-    synchronized Copy copy() {
-        Map<Long, List<String>> copied = new TreeMap<>();
-        leases.forEach((lease, keys) -> copied.put(lease, List.copyOf(keys)));
-        return new Copy(Map.copyOf(items), List.copyOf(history), copied, revision);
+    /** The current state of the store, for a later {@link #restoreFrom}. */
+    synchronized Snapshot snapshot() {
+        Map<Long, List<String>> leasesCopy = new TreeMap<>();
+        leases.forEach((lease, keys) -> leasesCopy.put(lease, List.copyOf(keys)));
+        return new Snapshot(Map.copyOf(items), List.copyOf(history), leasesCopy, revision);
     }
 
-    /** Loses all that was done since the copy was made, and begins a new era; watches under way get no answer. */
-    synchronized void comeBackFrom(Copy copy) {
+    /** Discards all changes since the snapshot was taken and starts a new era; pending watches get no response. */
+    synchronized void restoreFrom(Snapshot snapshot) {
         era++;
         items.clear();
-        items.putAll(copy.items());
+        items.putAll(snapshot.items());
         history.clear();
-        history.addAll(copy.history());
+        history.addAll(snapshot.history());
         leases.clear();
-        copy.leases().forEach((lease, keys) -> leases.put(lease, new ArrayList<>(keys)));
-        revision = copy.revision();
+        snapshot.leases().forEach((lease, keys) -> leases.put(lease, new ArrayList<>(keys)));
+        revision = snapshot.revision();
         historyFrom = Math.min(historyFrom, revision);
         watches.clear();
     }
 
-    /** An older state of the store. Immutable. */
-    record Copy(Map<String, Item> items, List<Event> history, Map<Long, List<String>> leases, long revision) {}
+    /** A state of the store. Immutable. */
+    record Snapshot(Map<String, Item> items, List<Event> history, Map<Long, List<String>> leases, long revision) {}
 
-    /** Forgets what has changed so far. */
+    /** Drops the history of all changes so far. */
     synchronized void dropHistory() {
         history.clear();
         historyFrom = revision;
@@ -205,6 +205,7 @@
         });
     }
 
+    /** Responds to the watch, with an empty response only if allowed; returns whether a response was sent. */
     private boolean answerWatch(Watch watch, boolean evenIfEmpty) {
         boolean dropped = watch.after() < historyFrom && watch.after() < revision;
         if (dropped || watch.after() > revision) {
@@ -237,10 +238,10 @@
             return HttpAnswer.of(NOT_FOUND);
         }
         for (JsonNode condition : body.path("expectedRev")) {
-            Item held = items.get(condition.path("key").asText());
-            long found = held == null ? 0 : held.revision();
-            if (found != condition.path("revision").asLong()) {
-                return StandinJson.conflict(condition.path("key").asText(), held);
+            Item stored = items.get(condition.path("key").asText());
+            long storedRevision = stored == null ? 0 : stored.revision();
+            if (storedRevision != condition.path("revision").asLong()) {
+                return StandinJson.conflict(condition.path("key").asText(), stored);
             }
         }
         for (JsonNode put : body.path("puts")) {
--- a/src/main/java/io/beryldock/platform/package-info.java
+++ b/src/main/java/io/beryldock/platform/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The adapter to the users' platform: settings, configuration document, announcements of targets, the store's protocol,
+ * The adapter to the users' platform: settings, configuration document, target announcements, store protocol, HTTP
  * headers and statuses.
  *
- * <p>It translates between the platform's words and the project's and decides nothing; nothing outside it knows a name
- * of the platform. The names on the wire are the platform's; each is decoded once into a type whose fields say what
- * they hold.
+ * <p>The adapter translates between the platform's terms and the project's and makes no decisions of its own. No other
+ * package depends on the platform's names. Names on the wire are the platform's; each value is decoded once into a type
+ * whose fields have descriptive names.
  */
 package io.beryldock.platform;
--- a/src/test/java/io/beryldock/platform/CallerEndpointTest.java
+++ b/src/test/java/io/beryldock/platform/CallerEndpointTest.java
@@ -31,7 +31,7 @@
             new HttpServerLimits(1000, 100, Duration.ofSeconds(60), Duration.ofSeconds(60));
 
     private final EventLoops loops = EventLoops.create(1);
-    private final List<IncomingRequest> taken = new CopyOnWriteArrayList<>();
+    private final List<IncomingRequest> received = new CopyOnWriteArrayList<>();
     private CallResult refusal = CallResult.notRun(Reason.SHED_AT_DOOR, "").withRetryAfterMillis(1_250);
     private HttpServer server;
     private Socket socket;
@@ -41,7 +41,7 @@
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         CallerEndpoint endpoint = new CallerEndpoint(
                 (request, scope) -> {
-                    taken.add(request);
+                    received.add(request);
                     return CompletableFuture.completedFuture(refusal());
                 },
                 "lists",
@@ -63,12 +63,12 @@
         return new RequestOutcome(new RequestId(new Incarnation(1, 1), 1), refusal);
     }
 
-    private String ask(String id) throws IOException {
-        return ask(id, "");
+    private String request(String id) throws IOException {
+        return request(id, "");
     }
 
-    private String ask(String id, String more) throws IOException {
-        String text = "GET /a/ HTTP/1.1\r\nHost: a\r\nX-Beryldock-Request-Id: " + id + "\r\n" + more + "\r\n";
+    private String request(String id, String extraHeaders) throws IOException {
+        String text = "GET /a/ HTTP/1.1\r\nHost: a\r\nX-Beryldock-Request-Id: " + id + "\r\n" + extraHeaders + "\r\n";
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         StringBuilder answer = new StringBuilder();
         while (answer.indexOf("\r\n\r\n") < 0) {
@@ -80,15 +80,16 @@
     }
 
     /**
-     * Story: under overload the readers of one VM get no page for minutes while those of another get all. All requests
-     * of a VM come from one address, so they had one place in the order of shedding.
+     * Guards against load shedding that refuses all requests of one VM for minutes while it admits all requests of
+     * another. All requests of a VM come from one address; if the address identified the caller, all of them would have
+     * the same position in the shedding order.
      */
     @Test
-    void requestsOfOneVmHaveDifferentPlacesInTheOrderOfShedding() throws IOException {
+    void requestsOfOneVmHaveDifferentPositionsInSheddingOrder() throws IOException {
         for (int i = 0; i < 20; i++) {
-            ask("00000000000000" + (10 + i));
+            request("00000000000000" + (10 + i));
         }
-        long hashes = taken.stream()
+        long hashes = received.stream()
                 .map(request -> CallerHash.of(request.identity(), 0))
                 .distinct()
                 .count();
@@ -96,28 +97,30 @@
     }
 
     @Test
-    void refusalSaysWhenToComeBack() throws IOException {
-        assertThat(ask("1")).startsWith("HTTP/1.1 503").containsIgnoringCase("Retry-After: 1.250");
+    void refusalContainsRetryAfterHeader() throws IOException {
+        assertThat(request("1")).startsWith("HTTP/1.1 503").containsIgnoringCase("Retry-After: 1.250");
     }
 
     /**
-     * Story: an organisation's key is found in the logs of a target, and a client passes for another organisation by
-     * naming it itself. Neither header goes further than this node.
+     * Guards against two faults: an organisation's API key in the logs of a target, and a client that impersonates
+     * another organisation by sending its name. The node forwards neither header.
      */
     @Test
-    void keyAndNameOfAnOrganisationAreNotPassedOn() throws IOException {
-        ask("1", "x-beryldock-credential: key-1\r\nX-Beryldock-Credential: key-2\r\nX-Beryldock-TENANT-Id: gent\r\n");
-        assertThat(taken.get(0).credentials()).containsExactly("key-1", "key-2");
-        assertThat(taken.get(0).headers().list().toString()).doesNotContain("key-", "gent");
+    void credentialAndOrganisationNameOfClientAreNotForwarded() throws IOException {
+        request(
+                "1",
+                "x-beryldock-credential: key-1\r\nX-Beryldock-Credential: key-2\r\nX-Beryldock-TENANT-Id: gent\r\n");
+        assertThat(received.get(0).credentials()).containsExactly("key-1", "key-2");
+        assertThat(received.get(0).headers().list().toString()).doesNotContain("key-", "gent");
     }
 
     @Test
-    void refusalsForKeysAndQuotasHaveTheirStatus() throws IOException {
+    void refusalsForKeysAndQuotasHaveTheirOwnStatus() throws IOException {
         refusal = CallResult.notRun(Reason.UNKNOWN_KEY, "");
-        assertThat(ask("1")).startsWith("HTTP/1.1 401").doesNotContainIgnoringCase("Retry-After");
+        assertThat(request("1")).startsWith("HTTP/1.1 401").doesNotContainIgnoringCase("Retry-After");
         refusal = CallResult.notRun(Reason.KEYS_UNCERTAIN, "").withRetryAfterMillis(400);
-        assertThat(ask("2")).startsWith("HTTP/1.1 503").containsIgnoringCase("Retry-After: 0.400");
+        assertThat(request("2")).startsWith("HTTP/1.1 503").containsIgnoringCase("Retry-After: 0.400");
         refusal = CallResult.notRun(Reason.OVER_QUOTA, "").withRetryAfterMillis(700);
-        assertThat(ask("3")).startsWith("HTTP/1.1 429").containsIgnoringCase("Retry-After: 0.700");
+        assertThat(request("3")).startsWith("HTTP/1.1 429").containsIgnoringCase("Retry-After: 0.700");
     }
 }
--- a/src/test/java/io/beryldock/platform/HeartbeatTest.java
+++ b/src/test/java/io/beryldock/platform/HeartbeatTest.java
@@ -11,7 +11,7 @@
 
 final class HeartbeatTest {
 
-    private static final String SOUND = """
+    private static final String VALID = """
             {"address":"127.0.0.1:9","born":1700000000123,
             "info":{"service":"lists","version":"v1","zone":"gent-a","slots":25},
             "status":{"state":"ready","sequence":4,"coldRemainingS":0}}""";
@@ -21,23 +21,23 @@
     }
 
     @Test
-    void soundHeartbeatIsRead() {
-        Heartbeat beat = read(SOUND).orElseThrow();
-        assertThat(beat.announcement().slots()).isEqualTo(25);
-        assertThat(beat.announcement().state()).isEqualTo(TargetState.READY);
-        assertThat(beat.sequence()).isEqualTo(4);
-        assertThat(beat.startedAtMillis()).isEqualTo(1_700_000_000_123L);
+    void validHeartbeatIsRead() {
+        Heartbeat heartbeat = read(VALID).orElseThrow();
+        assertThat(heartbeat.announcement().slots()).isEqualTo(25);
+        assertThat(heartbeat.announcement().state()).isEqualTo(TargetState.READY);
+        assertThat(heartbeat.sequence()).isEqualTo(4);
+        assertThat(heartbeat.startedAtMillis()).isEqualTo(1_700_000_000_123L);
     }
 
     @Test
-    void timeOfTheStartMayBeLeftOut() {
-        String older = SOUND.replace("\"born\":1700000000123,", "");
-        assertThat(read(older).orElseThrow().startedAtMillis()).isEqualTo(Heartbeat.UNKNOWN_START);
+    void startTimeIsOptional() {
+        String withoutStart = VALID.replace("\"born\":1700000000123,", "");
+        assertThat(read(withoutStart).orElseThrow().startedAtMillis()).isEqualTo(Heartbeat.UNKNOWN_START);
     }
 
     /**
-     * Story: a target that is leaving gets orders. Another program's heartbeat held a state that does not exist, which
-     * counted as ready.
+     * Guards against requests to a target that is leaving: another program sends a heartbeat with an unknown state, and
+     * the node takes that state for ready.
      */
     @ParameterizedTest
     @ValueSource(
@@ -57,15 +57,15 @@
                 "\"127.0.0.1:9\"|\"here\"",
                 "{|["
             })
-    void spoiledHeartbeatIsNone(String change) {
+    void invalidHeartbeatIsRejected(String change) {
         String[] parts = change.split("\\|", -1);
-        String spoiled = SOUND.replace(parts[0], parts[1]);
-        assertThat(spoiled).isNotEqualTo(SOUND);
-        assertThat(read(spoiled)).isEmpty();
+        String invalid = VALID.replace(parts[0], parts[1]);
+        assertThat(invalid).isNotEqualTo(VALID);
+        assertThat(read(invalid)).isEmpty();
     }
 
     @Test
-    void bodyThatIsNoJsonIsNone() {
+    void bodyThatIsNotAJsonObjectIsRejected() {
         assertThat(read("")).isEmpty();
         assertThat(read("7")).isEmpty();
         assertThat(Heartbeat.startedAt(ByteString.EMPTY)).isEqualTo(Heartbeat.UNKNOWN_START);
--- a/src/test/java/io/beryldock/platform/KvStoreClientTest.java
+++ b/src/test/java/io/beryldock/platform/KvStoreClientTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void conditionalWriteIsAppliedOnceAndThenConflicts() throws Exception {
+    void secondConditionalWriteWithTheSameConditionConflicts() throws Exception {
         WriteResult first = StorePair.get(pair.client.compareAndSet("k", PlatformStore.ABSENT, ONE));
         assertThat(first.kind()).isEqualTo(WriteResult.Kind.APPLIED);
         WriteResult second = StorePair.get(pair.client.compareAndSet("k", PlatformStore.ABSENT, TWO));
@@ -47,27 +47,27 @@
     }
 
     /**
-     * Story: an operator's change is told to be refused, yet it is in force later. The store had done the write and its
-     * answer was lost, which was taken for a refusal.
+     * Guards against an operator's change that is reported as refused but takes effect later: the store applies the
+     * write, its response is lost, and the client takes the loss for a refusal.
      */
     @Test
-    void writeWhoseAnswerIsLostIsUnknown() throws Exception {
-        pair.store.set(StandinStore.Fault.ANSWER_LOST);
+    void writeWithLostResponseHasUnknownResult() throws Exception {
+        pair.store.setFault(StandinStore.Fault.ANSWER_LOST);
         WriteResult write = StorePair.get(pair.client.compareAndSet("k", PlatformStore.ABSENT, ONE));
         assertThat(write.kind()).isEqualTo(WriteResult.Kind.UNKNOWN);
-        assertThat(pair.store.holds("k")).isTrue();
+        assertThat(pair.store.contains("k")).isTrue();
     }
 
     @Test
-    void storeThatRefusesHasDoneNothing() throws Exception {
-        pair.store.set(StandinStore.Fault.BUSY);
+    void writeRefusedByStoreIsNotApplied() throws Exception {
+        pair.store.setFault(StandinStore.Fault.BUSY);
         WriteResult write = StorePair.get(pair.client.compareAndSet("k", PlatformStore.ABSENT, ONE));
         assertThat(write.kind()).isEqualTo(WriteResult.Kind.NOT_APPLIED);
         assertThatThrownBy(() -> StorePair.get(pair.client.list("k"))).hasRootCauseInstanceOf(PlatformException.class);
     }
 
     @Test
-    void watchTellsChangesAndRemovals() throws Exception {
+    void watchReturnsChangesAndRemovals() throws Exception {
         StoreRevision revision = StorePair.get(pair.client.list("a/")).revision();
         CompletableFuture<Changes> watch = pair.client.changes("a/", revision, WAIT);
         pair.store.write("b/other", ONE);
@@ -85,10 +85,11 @@
     }
 
     /**
-     * Story: nodes never hear of a new target. The store had dropped its history and a watch from before it was kept.
+     * Guards against nodes that never learn of a new target: the store drops its history, and a watch from an earlier
+     * revision stays open without a result.
      */
     @Test
-    void watchFromBeforeTheHistorySaysSo() throws Exception {
+    void watchFromDroppedHistoryReportsHistoryGone() throws Exception {
         pair.store.write("a/1", ONE);
         pair.store.write("a/2", ONE);
         pair.store.dropHistory();
@@ -98,21 +99,21 @@
     }
 
     @Test
-    void endedLeaseCanNeitherBeRenewedNorWrittenUnder() throws Exception {
+    void expiredLeaseCanNeitherBeRenewedNorWrittenUnder() throws Exception {
         long lease = StorePair.get(pair.client.grantLease(Duration.ofSeconds(3)));
         assertThat(StorePair.get(pair.client.renewLease(lease))).isTrue();
-        pair.store.lapseLeases();
+        pair.store.expireLeases();
         assertThat(StorePair.get(pair.client.renewLease(lease))).isFalse();
         assertThat(StorePair.get(pair.client.put("a/1", ONE, lease))).isFalse();
     }
 
-    /** Guards against a watch that goes on in a history that the store has lost. */
+    /** Guards against a watch that continues from a revision that the store has lost in a restore. */
     @Test
-    void watchBeyondTheStoresCopySaysSo() throws Exception {
-        StandinStore.Copy copy = pair.store.copy();
+    void watchFromRevisionLostInRestoreReportsHistoryGone() throws Exception {
+        StandinStore.Snapshot snapshot = pair.store.snapshot();
         pair.store.write("a/1", ONE);
         StoreRevision known = StorePair.get(pair.client.list("a/")).revision();
-        pair.store.comeBackFrom(copy);
+        pair.store.restoreFrom(snapshot);
         assertThat(StorePair.get(pair.client.changes("a/", known, WAIT)).historyGone())
                 .isTrue();
         assertThat(pair.client.eras().newest()).isEqualTo(known.era() + 1);
@@ -120,12 +121,12 @@
                 .isTrue();
     }
 
-    /** Guards against a conditional write that replaces another's value, as its revision was given out again. */
+    /** Guards against a conditional write that overwrites a foreign value, because its revision was assigned twice. */
     @Test
-    void versionOfAnEarlierEraIsNoneToReplace() throws Exception {
-        StandinStore.Copy copy = pair.store.copy();
+    void conditionalWriteWithVersionOfEarlierEraConflicts() throws Exception {
+        StandinStore.Snapshot snapshot = pair.store.snapshot();
         WriteResult lost = StorePair.get(pair.client.compareAndSet("k", PlatformStore.ABSENT, ONE));
-        pair.store.comeBackFrom(copy);
+        pair.store.restoreFrom(snapshot);
         pair.store.write("k", TWO);
         StorePair.get(pair.client.probe());
         WriteResult late = StorePair.get(pair.client.compareAndSet("k", lost.version(), ONE));
@@ -134,22 +135,22 @@
         assertThat(late.current().orElseThrow().version()).isGreaterThan(lost.version());
     }
 
-    /** Guards against a write that is told as applied although nobody knows what it replaced. */
+    /** Guards against a write that is reported as applied although the replaced value is unknown. */
     @Test
-    void writeIntoAnEraThatWasNotKnownIsUnknown() throws Exception {
-        StandinStore.Copy copy = pair.store.copy();
+    void conditionalWriteIntoUnseenEraHasUnknownResult() throws Exception {
+        StandinStore.Snapshot snapshot = pair.store.snapshot();
         WriteResult lost = StorePair.get(pair.client.compareAndSet("k", PlatformStore.ABSENT, ONE));
-        pair.store.comeBackFrom(copy);
+        pair.store.restoreFrom(snapshot);
         pair.store.write("k", TWO);
-        WriteResult blind = StorePair.get(pair.client.compareAndSet("k", lost.version(), ONE));
-        assertThat(blind.kind()).isEqualTo(WriteResult.Kind.UNKNOWN);
+        WriteResult late = StorePair.get(pair.client.compareAndSet("k", lost.version(), ONE));
+        assertThat(late.kind()).isEqualTo(WriteResult.Kind.UNKNOWN);
     }
 
     @Test
-    void watchOfAValueEndsWithTheOneOfTheNewEra() throws Exception {
-        StandinStore.Copy copy = pair.store.copy();
+    void watchReturnsTheValueOfTheNewEraAfterRestore() throws Exception {
+        StandinStore.Snapshot snapshot = pair.store.snapshot();
         WriteResult lost = StorePair.get(pair.client.compareAndSet("k", PlatformStore.ABSENT, ONE));
-        pair.store.comeBackFrom(copy);
+        pair.store.restoreFrom(snapshot);
         pair.store.write("k", TWO);
         assertThat(StorePair.get(pair.client.watch("k", lost.version(), WAIT))
                         .orElseThrow()
--- a/src/test/java/io/beryldock/platform/LocalTargetsTest.java
+++ b/src/test/java/io/beryldock/platform/LocalTargetsTest.java
@@ -15,13 +15,14 @@
     private final AtomicInteger newStarts = new AtomicInteger();
     private final LocalTargets targets = new LocalTargets(Runnable::run, announced::add, newStarts::incrementAndGet);
 
-    private void beat(String id, int port, long sequence, TargetState state) {
-        bornBeat(id, port, sequence, state, Heartbeat.UNKNOWN_START);
+    private void heartbeat(String id, int port, long sequence, TargetState state) {
+        heartbeatOfStart(id, port, sequence, state, Heartbeat.UNKNOWN_START);
     }
 
-    private void bornBeat(String id, int port, long sequence, TargetState state, long startedAt) {
+    private void heartbeatOfStart(String id, int port, long sequence, TargetState state, long startedAt) {
         Announcement announcement = new Announcement("lists", "127.0.0.1:" + port, 8, state);
-        targets.heard(id, new Heartbeat(announcement, sequence, startedAt)).join();
+        targets.onHeartbeat(id, new Heartbeat(announcement, sequence, startedAt))
+                .join();
     }
 
     private TargetState lastState() {
@@ -29,24 +30,28 @@
     }
 
     private void ready(String id, long sequence) {
-        beat(id, 1, sequence, TargetState.READY);
+        heartbeat(id, 1, sequence, TargetState.READY);
     }
 
     /**
-     * Story: every page of a service fails for seconds after its target crashed and came back. A heartbeat of the ended
-     * start was held up in the network, came after those of the new one, and calls were then sent in the old name.
+     * Guards against a service that fails for seconds after its target has crashed and restarted: a heartbeat of the
+     * ended start is delayed in the network, arrives after those of the new start, and the node then sends calls with
+     * the id of the ended start.
      */
     @Test
-    void lateHeartbeatOfAnEndedStartDoesNotReplaceTheNewOne() {
+    void lateHeartbeatOfEndedStartDoesNotReplaceTheNewStart() {
         ready("old", 7);
         ready("new", 1);
         ready("old", 8);
         assertThat(targets.current().orElseThrow().id()).isEqualTo("new");
     }
 
-    /** Story: as before, but this node was restarted in between and heard the late heartbeat as news. */
+    /**
+     * Guards against the same fault at a node that was restarted in between and receives the late heartbeat first: the
+     * running start becomes current again with its second heartbeat.
+     */
     @Test
-    void startThatGoesOnBeatingComesBack() {
+    void replacedStartBecomesCurrentAgainAfterTwoHeartbeats() {
         ready("new", 5);
         ready("old", 8);
         ready("new", 6);
@@ -55,9 +60,9 @@
     }
 
     @Test
-    void targetThatSaidThatItEndsGetsNoWorkAgain() {
+    void endedStartStaysLeavingDespiteFurtherHeartbeats() {
         ready("a", 1);
-        targets.ended("a", Heartbeat.UNKNOWN_START).join();
+        targets.onEnded("a", Heartbeat.UNKNOWN_START).join();
         ready("a", 2);
         ready("a", 3);
         ready("a", 4);
@@ -65,60 +70,60 @@
     }
 
     @Test
-    void heartbeatThatWasOvertakenChangesNothing() {
-        beat("a", 1, 5, TargetState.LEAVING);
-        beat("a", 1, 4, TargetState.READY);
+    void heartbeatWithLowerSequenceIsIgnored() {
+        heartbeat("a", 1, 5, TargetState.LEAVING);
+        heartbeat("a", 1, 4, TargetState.READY);
         assertThat(announced).extracting(Announcement::state).containsExactly(TargetState.LEAVING);
     }
 
     /**
-     * Story: pages of a service fail for as long as its target had run before. It crashed and started again under the
-     * id that it had, counting its heartbeats from the start; each was taken for one that had been overtaken, so that
-     * the node believed what the ended start had said last.
+     * Guards against a service that fails after a restart for as long as its target had run before: the target crashes,
+     * restarts under the same id and numbers its heartbeats from the beginning. The node ignores them as overtaken and
+     * keeps the last state of the ended start.
      */
     @Test
-    void targetThatStartsAgainUnderItsIdIsBelieved() {
-        bornBeat("a", 1, 40, TargetState.LEAVING, 1_000);
-        bornBeat("a", 1, 1, TargetState.READY, 2_000);
+    void restartUnderTheSameIdIsAccepted() {
+        heartbeatOfStart("a", 1, 40, TargetState.LEAVING, 1_000);
+        heartbeatOfStart("a", 1, 1, TargetState.READY, 2_000);
         assertThat(lastState()).isEqualTo(TargetState.READY);
         assertThat(newStarts).hasValue(1);
     }
 
-    /** Story: as before; then a heartbeat of the ended start comes late, with a higher sequence, and is believed. */
+    /** Guards against a late heartbeat of the earlier start that is accepted because its sequence is higher. */
     @Test
-    void lateHeartbeatOfAnEarlierStartUnderTheSameIdChangesNothing() {
-        bornBeat("a", 1, 40, TargetState.READY, 1_000);
-        bornBeat("a", 1, 1, TargetState.READY, 2_000);
-        bornBeat("a", 1, 41, TargetState.LEAVING, 1_000);
+    void lateHeartbeatOfEarlierStartUnderTheSameIdIsIgnored() {
+        heartbeatOfStart("a", 1, 40, TargetState.READY, 1_000);
+        heartbeatOfStart("a", 1, 1, TargetState.READY, 2_000);
+        heartbeatOfStart("a", 1, 41, TargetState.LEAVING, 1_000);
         assertThat(lastState()).isEqualTo(TargetState.READY);
         assertThat(newStarts).hasValue(1);
     }
 
-    /** Story: a target gets no work after its restart: the end of its earlier start was told late. */
+    /** Guards against a restarted target without work, because the end of its earlier start was reported late. */
     @Test
-    void lateEndOfAnEarlierStartDoesNotEndThePresentOne() {
-        bornBeat("a", 1, 40, TargetState.READY, 1_000);
-        bornBeat("a", 1, 1, TargetState.READY, 2_000);
-        targets.ended("a", 1_000).join();
-        bornBeat("a", 1, 2, TargetState.READY, 2_000);
+    void lateEndOfEarlierStartDoesNotEndTheCurrentStart() {
+        heartbeatOfStart("a", 1, 40, TargetState.READY, 1_000);
+        heartbeatOfStart("a", 1, 1, TargetState.READY, 2_000);
+        targets.onEnded("a", 1_000).join();
+        heartbeatOfStart("a", 1, 2, TargetState.READY, 2_000);
         assertThat(lastState()).isEqualTo(TargetState.READY);
     }
 
     @Test
-    void targetThatEndedAndStartsAgainUnderItsIdIsBelieved() {
-        bornBeat("a", 1, 40, TargetState.READY, 1_000);
-        targets.ended("a", 1_000).join();
+    void restartUnderTheSameIdAfterAnEndIsAccepted() {
+        heartbeatOfStart("a", 1, 40, TargetState.READY, 1_000);
+        targets.onEnded("a", 1_000).join();
         assertThat(lastState()).isEqualTo(TargetState.LEAVING);
-        bornBeat("a", 1, 1, TargetState.READY, 2_000);
+        heartbeatOfStart("a", 1, 1, TargetState.READY, 2_000);
         assertThat(lastState()).isEqualTo(TargetState.READY);
     }
 
-    /** A start that says that it is the earlier one needs no proofs against it, however often it says so. */
+    /** A start with an earlier start time never becomes current, however many heartbeats it sends. */
     @Test
-    void earlierStartUnderAnotherIdNeverComesBack() {
-        bornBeat("new", 1, 1, TargetState.READY, 2_000);
+    void earlierStartUnderAnotherIdNeverBecomesCurrent() {
+        heartbeatOfStart("new", 1, 1, TargetState.READY, 2_000);
         for (int sequence = 8; sequence < 12; sequence++) {
-            bornBeat("old", 1, sequence, TargetState.READY, 1_000);
+            heartbeatOfStart("old", 1, sequence, TargetState.READY, 1_000);
         }
         assertThat(targets.current().orElseThrow().id()).isEqualTo("new");
     }
--- a/src/test/java/io/beryldock/platform/OperatorDocumentTest.java
+++ b/src/test/java/io/beryldock/platform/OperatorDocumentTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void longestPrefixOfTheHostIsFound() throws ConfigurationException {
+    void routeWithLongestPrefixOfTheHostIsFound() throws ConfigurationException {
         Configuration configuration = decoded();
         Route deep =
                 configuration.find("a.example:8080", "POST", "/x/y/2f?q=/z/").orElseThrow();
@@ -57,18 +57,18 @@
         assertThat(configuration.find("a.example", "GET", "/x")).isEmpty();
     }
 
-    /** Guards against a failed answer for each large body whose target fails, though another could give it. */
+    /** Guards against a failed request for a large body that another target could have served. */
     @Test
-    void requestsForLargeBodiesMayRunAgain() throws ConfigurationException {
+    void downloadRoutesAreIdempotent() throws ConfigurationException {
         String text = TEXT.replace("\"safe\"", "\"download\"");
         Configuration configuration = decoder.decode(ByteString.copyFromUtf8(text));
         Route wide = configuration.find("a.example", "GET", "/x/1").orElseThrow();
         assertThat(wide.idempotent()).isTrue();
     }
 
-    /** The objective is the operators', but never beyond the time that they let a request wait. */
+    /** The latency objective is the one that operators set, but never longer than the route's deadline. */
     @Test
-    void routesHaveAnObjectiveWithinTheirDeadline() throws ConfigurationException {
+    void objectiveIsCappedAtTheDeadline() throws ConfigurationException {
         String text = TEXT.replace("\"timeoutS\":0.8", "\"timeoutS\":0.8,\"targetLatencyS\":0.4")
                 .replace("\"timeoutS\":1,", "\"timeoutS\":1,\"targetLatencyS\":4,");
         Configuration configuration = decoder.decode(ByteString.copyFromUtf8(text));
@@ -78,9 +78,12 @@
         assertThat(deep.objective()).isEqualTo(Duration.ofSeconds(1));
     }
 
-    /** Requests are spread by weight whatever room the parts have; 10,000 draws of one seed stay within 2 in 100. */
+    /**
+     * Requests are distributed by weight, whatever capacity the services have; 10,000 draws with a fixed seed stay
+     * within 2 in 100.
+     */
     @Test
-    void requestsAreSpreadByWeight() throws ConfigurationException {
+    void requestsAreDistributedByWeight() throws ConfigurationException {
         Route deep = decoded().find("a.example", "POST", "/x/y/1").orElseThrow();
         Random random = new Random(7);
         long orders = IntStream.range(0, 10_000)
@@ -90,14 +93,14 @@
     }
 
     @Test
-    void limitsOfListenersAreTaken() throws ConfigurationException {
+    void listenerLimitsAreDecoded() throws ConfigurationException {
         decoded();
         assertThat(decoder.limits().maxHeaderBytes()).isEqualTo(2048);
         assertThat(decoder.limits().idleTimeout()).isEqualTo(Duration.ofSeconds(15));
     }
 
     @Test
-    void documentThatIsCutShortIsRefused() {
+    void truncatedDocumentIsRejected() {
         assertThatThrownBy(() -> decoder.decode(ByteString.copyFromUtf8(TEXT.substring(0, 100))))
                 .isInstanceOf(ConfigurationException.class);
     }
@@ -117,7 +120,7 @@
             """;
 
     @Test
-    void organisationsHaveKeysAndQuotas() throws ConfigurationException {
+    void organisationsAreDecodedWithKeysAndQuotas() throws ConfigurationException {
         OrganisationTable table =
                 decoder.decode(ByteString.copyFromUtf8(WITH_ORGANISATIONS)).organisations();
         Organisation first = table.holderOf("k2").orElseThrow();
@@ -133,7 +136,7 @@
     }
 
     @Test
-    void routesAreOpenWhereTheDocumentSaysSo() throws ConfigurationException {
+    void routesAreOpenOnlyIfMarkedPublic() throws ConfigurationException {
         Configuration configuration = decoder.decode(ByteString.copyFromUtf8(WITH_ORGANISATIONS));
         assertThat(configuration.find("a.example", "GET", "/z/1").orElseThrow().open())
                 .isTrue();
@@ -143,9 +146,9 @@
                 .isFalse();
     }
 
-    /** An organisation that goes first does so with all it asks; within one rank an order goes before browsing. */
+    /** All requests of an organisation with a higher priority rank first; within one rank, orders precede browsing. */
     @Test
-    void rankOfTheOrganisationGoesBeforeThatOfTheRoute() throws ConfigurationException {
+    void organisationRankTakesPrecedenceOverRouteRank() throws ConfigurationException {
         Configuration configuration = decoder.decode(ByteString.copyFromUtf8(WITH_ORGANISATIONS));
         Route browse = configuration.find("a.example", "GET", "/x/1").orElseThrow();
         Route order = configuration.find("a.example", "POST", "/y/1").orElseThrow();
@@ -160,9 +163,9 @@
         assertThat(configuration.priorityOf(browse, Optional.empty()).rank()).isEqualTo(2);
     }
 
-    /** Guards against limits of an older document that the store brings back: its version is not put in force. */
+    /** Guards against limits of an older document from a restored store, whose version does not take effect. */
     @Test
-    void limitsOfAnOlderDocumentReplaceNone() throws ConfigurationException {
+    void limitsOfOlderDocumentAreIgnored() throws ConfigurationException {
         decoded();
         String older = TEXT.replace("0000001f", "0000001e").replace("\"idleTimeoutS\":15", "\"idleTimeoutS\":2");
         decoder.decode(ByteString.copyFromUtf8(older));
--- a/src/test/java/io/beryldock/platform/SoakRunTest.java
+++ b/src/test/java/io/beryldock/platform/SoakRunTest.java
@@ -8,31 +8,31 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Three node processes under a planned stop, faults of links and processes, and the death of all of them. */
+/** Soak runs of three node processes with a planned stop, link and process faults, and a crash of all processes. */
 final class SoakRunTest {
 
-    private static final Duration LENGTH = Duration.ofSeconds(20);
+    private static final Duration DURATION = Duration.ofSeconds(20);
     private static final int NODES = 3;
 
-    /** Brings the store back from an older copy 9 s after the start, with calm after it. */
+    /** Seed of a run that restores the store from an older copy 9 s after the start and injects no faults after it. */
     private static final long RESTORING_SEED = 15;
 
-    private static final Duration RESTORING_LENGTH = Duration.ofSeconds(40);
+    private static final Duration RESTORING_DURATION = Duration.ofSeconds(40);
 
-    /** Guards against a promise that holds within one process and breaks between processes under faults. */
+    /** Guards against an invariant that holds within one process but breaks between processes under faults. */
     @Test
-    void everyPromiseHoldsUnderTheFaultsOfASeed() throws IOException, InterruptedException {
-        play(1, LENGTH);
+    void invariantsHoldUnderSeededFaults() throws IOException, InterruptedException {
+        runSoak(1, DURATION);
     }
 
-    /** Guards against documents that nodes ignore after the store came back from an older copy. */
+    /** Guards against nodes that ignore documents after the store was restored from an older copy. */
     @Test
-    void everyPromiseHoldsWhenTheStoreComesBackFromAnOlderCopy() throws IOException, InterruptedException {
-        play(RESTORING_SEED, RESTORING_LENGTH);
+    void invariantsHoldAfterStoreIsRestoredFromOlderCopy() throws IOException, InterruptedException {
+        runSoak(RESTORING_SEED, RESTORING_DURATION);
     }
 
-    private static void play(long seed, Duration length) throws IOException, InterruptedException {
-        SoakReport report = SoakRun.play(new SoakRun.Plan(seed, length, NODES), SoakSurroundings.start());
+    private static void runSoak(long seed, Duration duration) throws IOException, InterruptedException {
+        SoakReport report = SoakRun.play(new SoakRun.Plan(seed, duration, NODES), SoakSurroundings.start());
         assertThat(report.broken()).as("logs in %s", report.directory()).isEmpty();
         assertThat(report.served()).isPositive();
     }
--- a/src/test/java/io/beryldock/platform/StandinPlatformTest.java
+++ b/src/test/java/io/beryldock/platform/StandinPlatformTest.java
@@ -7,16 +7,17 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** Two nodes, their store and a target on the loopback interface: the whole way of a request on the platform. */
+/** End-to-end tests of requests through two nodes, with their store and a target on the loopback interface. */
 final class StandinPlatformTest {
 
     /**
-     * Story: a client names its organisation's key, and another organisation; the target must be told the name of the
-     * key's and never the key, or it refuses. A key that no configuration has ever held is answered 401 and runs
-     * nowhere.
+     * Guards against a credential or a spoofed organisation that reaches the target. The client sends its
+     * organisation's key and the name of another organisation. The target refuses a request unless it contains the name
+     * of the key's organisation and no key. A request with a key that no configuration has ever contained gets status
+     * 401 and does not run.
      */
     @Test
-    void keysOpenTheRouteAndGoNoFurther()
+    void keyAuthorisesRequestAndIsNotForwarded()
             throws IOException, InterruptedException, SettingsException, PeerStartException {
         try (StandinPlatform platform = StandinPlatform.start()) {
             assertThat(platform.exercise(20)).isEqualTo(20);
--- a/src/test/java/io/beryldock/platform/StorePair.java
+++ b/src/test/java/io/beryldock/platform/StorePair.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** A stand-in of the store and a client of it over the loopback interface. */
+/** A store stand-in and a client that is connected to it over the loopback interface. */
 final class StorePair implements AutoCloseable {
 
     private static final HttpServerLimits LIMITS =
@@ -36,7 +36,7 @@
         client = KvStoreClient.create(server.address(), http);
     }
 
-    /** What the call gives; its answer takes real time, which no assertion is about. */
+    /** Waits in real time for the result of the call; no assertion depends on how long it takes. */
     static <T> T get(CompletableFuture<T> call) throws InterruptedException, ExecutionException, TimeoutException {
         return call.get(10, TimeUnit.SECONDS);
     }
