--- a/src/main/java/io/beryldock/membership/AntiEntropy.java
+++ b/src/main/java/io/beryldock/membership/AntiEntropy.java
@@ -2,7 +2,7 @@
 
 import io.beryldock.call.DataCentre;
 import io.beryldock.call.NodeId;
-import io.beryldock.membership.MembershipView.Held;
+import io.beryldock.membership.MembershipView.HeldRecord;
 import io.beryldock.wire.MembershipCentreBuckets;
 import io.beryldock.wire.MembershipCentreDigest;
 import io.beryldock.wire.MembershipCentrePull;
@@ -23,29 +23,29 @@
 import java.util.Set;
 
 /**
- * Makes two views equal by their digests: what differs is narrowed down to data centres, then to buckets, then to
- * records, and only those are sent.
+ * Synchronises the view of this node with that of a neighbour by comparing digests: a difference is narrowed down to
+ * data centres, then to buckets, then to records, and only the differing records are sent.
  *
- * <p>It mends what spreading lost, and gives a new node its first view. Digests come with pings and acknowledgements; a
- * difference that lasts starts a round with that neighbour. Invariant: one round of this node's own at a time, and a
- * bounded number a second for others, so that many new nodes at once do not keep a node from its work. Control thread
- * only.
+ * <p>Synchronisation repairs losses of gossip and gives a new node its first view. Digests arrive with pings and
+ * acknowledgements; a lasting difference starts a round with that neighbour. Invariant: this node runs at most one
+ * round of its own at a time and serves a bounded number of rounds per second for other nodes, so that many nodes
+ * starting at once do not overload it. Confined to the control thread.
  */
 final class AntiEntropy {
 
-    /** A difference gets that long to go by itself: news takes less to spread. */
-    static final Duration PATIENCE = Duration.ofSeconds(3);
+    /** Minimum age of a difference before a round starts; gossip resolves most differences sooner. */
+    static final Duration MIN_DIFFERENCE_AGE = Duration.ofSeconds(3);
 
     private static final Duration MIN_INTERVAL = Duration.ofSeconds(5);
     private static final Duration ROUND_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration DIFFERENCE_EXPIRY = Duration.ofSeconds(10);
-    private static final int MAX_CENTRES = 4;
-    private static final int MAX_SERVED_A_SECOND = 20;
+    private static final int MAX_CENTRES_PER_STEP = 4;
+    private static final int MAX_SERVED_PER_SECOND = 20;
 
-    /** A difference to a neighbour: since when, and when it was seen last. */
-    private record Difference(long since, long seen) {}
+    /** A difference from a neighbour's digest, with the monotonic times of the first and the latest observation. */
+    private record Difference(long since, long lastSeen) {}
 
-    /** A round in progress. Control thread only. */
+    /** A synchronisation round in progress. Confined to the control thread. */
     private static final class Round {
         private final NodeId partner;
         private long progressAt;
@@ -63,13 +63,16 @@
     private final Runnable onComplete;
     private final Map<NodeId, Difference> differences = new LinkedHashMap<>();
     private Optional<Round> round = Optional.empty();
-    private boolean heardMember;
-    private boolean eager = true;
+    private boolean digestReceived;
+    private boolean refreshing = true;
     private long lastRound;
     private long servedSecond;
     private int served;
 
-    /** Makes the synchronisation; {@code onComplete} runs when the view is whole for the first time or again. */
+    /**
+     * Creates the synchronisation; {@code onComplete} runs each time the view has become complete, at the start or
+     * after a refresh.
+     */
     AntiEntropy(MembershipContext context, Runnable onComplete) {
         this.context = context;
         this.view = context.view();
@@ -78,37 +81,40 @@
         this.lastRound = context.now();
     }
 
-    /** Whether any node that has joined was heard since the start. */
-    boolean hasHeardMember() {
-        return heardMember;
+    /** Whether a digest from a joined node has arrived since the start. */
+    boolean hasReceivedDigest() {
+        return digestReceived;
     }
 
-    /** Whether the view is being fetched, at the start or after a pause, and what it holds may be old. */
+    /** Whether the view is being fetched, at the start or after a pause, so that its records may be stale. */
     boolean isRefreshing() {
-        return eager;
+        return refreshing;
     }
 
-    /** Compares with the next neighbour heard of without waiting: the view is old after a pause. */
+    /**
+     * Starts a round with the next neighbour whose digest arrives, without the usual delay, because the view is stale
+     * after a pause.
+     */
     void refresh() {
-        eager = true;
+        refreshing = true;
         round = Optional.empty();
         differences.clear();
     }
 
-    /** Takes the digest that came with a ping or acknowledgement of a node that has joined. */
+    /** Handles the digest in a ping or acknowledgement of a joined node. */
     void onRoot(NodeId from, long root) {
         long now = context.now();
-        heardMember = true;
+        digestReceived = true;
         if (root == view.root()) {
             differences.remove(from);
-            if (eager) {
+            if (refreshing) {
                 finish();
             }
             return;
         }
         Difference known = differences.get(from);
         differences.put(from, new Difference(known == null ? now : known.since(), now));
-        if (eager && round.isEmpty()) {
+        if (refreshing && round.isEmpty()) {
             startRound(from, now);
         }
     }
@@ -118,16 +124,16 @@
             round = Optional.empty();
             differences.remove(open.partner);
         });
-        differences.values().removeIf(difference -> now - difference.seen() > DIFFERENCE_EXPIRY.toNanos());
+        differences.values().removeIf(difference -> now - difference.lastSeen() > DIFFERENCE_EXPIRY.toNanos());
         if (round.isEmpty()) {
             nextPartner(now).ifPresent(partner -> startRound(partner, now));
         }
     }
 
-    /** Answers the first step: says what differs, if anything does. */
+    /** Handles the first step of a round by sending the buckets of the data centres that differ. */
     void onOffer(NodeId from, MembershipSyncOffer offer) {
         Optional<InetSocketAddress> to = address(from);
-        if (to.isEmpty() || !mayServe()) {
+        if (to.isEmpty() || !tryServe()) {
             return;
         }
         Map<DataCentre, Long> theirs = new LinkedHashMap<>();
@@ -136,17 +142,17 @@
         }
         MembershipSyncBuckets.Builder answer = MembershipSyncBuckets.newBuilder();
         for (DataCentre centre : centresToCompare(theirs)) {
-            long their = theirs.getOrDefault(centre, 0L);
-            if (their == view.root(centre)) {
+            long theirRoot = theirs.getOrDefault(centre, 0L);
+            if (theirRoot == view.root(centre)) {
                 continue;
             }
-            if (answer.getCentresCount() == MAX_CENTRES) {
+            if (answer.getCentresCount() == MAX_CENTRES_PER_STEP) {
                 answer.setMore(true);
                 break;
             }
             MembershipCentreBuckets.Builder buckets =
                     MembershipCentreBuckets.newBuilder().setDataCentre(centre.value());
-            if (their != 0) {
+            if (theirRoot != 0) {
                 buckets.addAllBuckets(view.buckets(centre));
             }
             answer.addCentres(buckets);
@@ -154,7 +160,7 @@
         sender.send(to.get(), MembershipMessage.newBuilder().setSyncBuckets(answer));
     }
 
-    /** Takes the second step: asks for what differs. */
+    /** Handles the second step of a round by requesting the records of the buckets that differ. */
     void onBuckets(NodeId from, MembershipSyncBuckets buckets) {
         Optional<InetSocketAddress> to = address(from);
         if (to.isEmpty() || !isPartner(from)) {
@@ -164,7 +170,7 @@
             endRound(from, false);
             return;
         }
-        progress(buckets.getMore());
+        onProgress(buckets.getMore());
         MembershipSyncPull.Builder pull = MembershipSyncPull.newBuilder();
         for (MembershipCentreBuckets centre : buckets.getCentresList()) {
             pull.addCentres(pull(centre));
@@ -172,7 +178,10 @@
         sender.send(to.get(), MembershipMessage.newBuilder().setSyncPull(pull));
     }
 
-    /** Answers the third step: sends what the other side lacks, and says what this one lacks. */
+    /**
+     * Handles the third step of a round by sending the records that the other node lacks and the fingerprints of those
+     * that this node lacks.
+     */
     void onPull(NodeId from, MembershipSyncPull pull) {
         Optional<InetSocketAddress> to = address(from);
         if (to.isEmpty()) {
@@ -183,10 +192,10 @@
         for (MembershipCentrePull centre : pull.getCentresList()) {
             Set<Integer> buckets = new HashSet<>(centre.getBucketsList());
             Set<Long> theirs = new HashSet<>(centre.getHeldList());
-            for (Held held : view.members(DataCentre.of(centre.getDataCentre()))) {
-                boolean asked = buckets.isEmpty() || buckets.contains(CentreView.bucketOf(held));
-                if (held.record().isLive() && asked && !theirs.remove(held.fingerprint())) {
-                    missing.add(held.record());
+            for (HeldRecord local : view.members(DataCentre.of(centre.getDataCentre()))) {
+                boolean requested = buckets.isEmpty() || buckets.contains(CentreView.bucketOf(local));
+                if (local.record().isLive() && requested && !theirs.remove(local.fingerprint())) {
+                    missing.add(local.record());
                 }
             }
             wanted.addAllWanted(theirs);
@@ -195,7 +204,7 @@
         sender.send(to.get(), MembershipMessage.newBuilder().setSyncWanted(wanted));
     }
 
-    /** Takes the last step: sends what the other side lacks. */
+    /** Handles the last step of a round by sending the records that the other node lacks. */
     void onWanted(NodeId from, MembershipSyncWanted wanted) {
         Optional<InetSocketAddress> to = address(from);
         if (to.isEmpty() || !isPartner(from)) {
@@ -227,17 +236,17 @@
         differences.remove(partner);
         if (more) {
             startRound(partner, context.now());
-        } else if (eager) {
+        } else if (refreshing) {
             finish();
         }
     }
 
     private void finish() {
-        eager = false;
+        refreshing = false;
         onComplete.run();
     }
 
-    private void progress(boolean more) {
+    private void onProgress(boolean more) {
         round.ifPresent(open -> {
             open.progressAt = context.now();
             open.more = more;
@@ -245,11 +254,11 @@
     }
 
     private Optional<NodeId> nextPartner(long now) {
-        if (!eager && now - lastRound < MIN_INTERVAL.toNanos()) {
+        if (!refreshing && now - lastRound < MIN_INTERVAL.toNanos()) {
             return Optional.empty();
         }
         return differences.entrySet().stream()
-                .filter(entry -> eager || now - entry.getValue().since() >= PATIENCE.toNanos())
+                .filter(entry -> refreshing || now - entry.getValue().since() >= MIN_DIFFERENCE_AGE.toNanos())
                 .map(Map.Entry::getKey)
                 .findFirst();
     }
@@ -264,16 +273,19 @@
             }
         }
         Set<Integer> buckets = new HashSet<>(pull.getBucketsList());
-        for (Held held : view.members(centre)) {
-            boolean asked = buckets.isEmpty() || buckets.contains(CentreView.bucketOf(held));
-            if (held.record().isLive() && asked) {
-                pull.addHeld(held.fingerprint());
+        for (HeldRecord local : view.members(centre)) {
+            boolean requested = buckets.isEmpty() || buckets.contains(CentreView.bucketOf(local));
+            if (local.record().isLive() && requested) {
+                pull.addHeld(local.fingerprint());
             }
         }
         return pull.build();
     }
 
-    /** The own data centre first: a new node needs its neighbours before all else. */
+    /**
+     * Returns the data centres to compare, this node's own first because a new node needs its neighbours before all
+     * other records.
+     */
     private Set<DataCentre> centresToCompare(Map<DataCentre, Long> theirs) {
         Set<DataCentre> centres = new LinkedHashSet<>();
         centres.add(context.ownCentre());
@@ -285,23 +297,23 @@
     private List<MemberRecord> withFingerprints(Set<Long> fingerprints) {
         List<MemberRecord> found = new ArrayList<>();
         for (DataCentre centre : view.dataCentres()) {
-            for (Held held : view.members(centre)) {
-                if (held.record().isLive() && fingerprints.contains(held.fingerprint())) {
-                    found.add(held.record());
+            for (HeldRecord local : view.members(centre)) {
+                if (local.record().isLive() && fingerprints.contains(local.fingerprint())) {
+                    found.add(local.record());
                 }
             }
         }
         return found;
     }
 
-    private boolean mayServe() {
+    private boolean tryServe() {
         long second = context.now() / Duration.ofSeconds(1).toNanos();
         if (second != servedSecond) {
             servedSecond = second;
             served = 0;
         }
         served++;
-        return served <= MAX_SERVED_A_SECOND;
+        return served <= MAX_SERVED_PER_SECOND;
     }
 
     private boolean isPartner(NodeId id) {
--- a/src/main/java/io/beryldock/membership/CentreLinks.java
+++ b/src/main/java/io/beryldock/membership/CentreLinks.java
@@ -2,7 +2,7 @@
 
 import io.beryldock.call.DataCentre;
 import io.beryldock.call.NodeId;
-import io.beryldock.membership.MembershipView.Held;
+import io.beryldock.membership.MembershipView.HeldRecord;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -15,24 +15,24 @@
 import java.util.function.Predicate;
 
 /**
- * This node's links to other data centres, if it is chosen for any.
+ * Maintains the links of this node to the other data centres for which it is chosen.
  *
- * <p>For each other data centre the two members with the highest rendezvous weight for it are its links, so the links
- * to many data centres are shared out over many nodes. A link probes the node over there that is chosen likewise, or,
- * when that is silent, the next one. Control thread only.
+ * <p>For each other data centre, the two members with the highest rendezvous weight for it hold the links, which
+ * distributes the links to many data centres over many nodes. A link probes the node of the other data centre that is
+ * chosen in the same way, and the next node in order when that node does not answer. Confined to the control thread.
  */
 final class CentreLinks {
 
-    static final int LINKS = 2;
+    static final int LINKS_PER_CENTRE = 2;
 
-    /** A data centre none of whose nodes has answered for so long is reported as unreachable. */
+    /** A data centre is reported as unreachable when none of its nodes has answered for this long. */
     static final Duration UNREACHABLE_AFTER = Duration.ofSeconds(5);
 
     private static final int MIN_FAILURES = 3;
     private static final int MAX_CANDIDATES = 8;
-    private static final Duration RETRY = Duration.ofMillis(500);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
-    /** The state of one link. Control thread only. */
+    /** The state of one link. Confined to the control thread. */
     private static final class Link {
         private final int rank;
         private int offset;
@@ -50,23 +50,23 @@
 
     private final MembershipContext context;
     private final LinkReports reports;
-    private final Predicate<Held> answers;
+    private final Predicate<HeldRecord> isEligible;
     private final Map<DataCentre, Link> links = new LinkedHashMap<>();
     private boolean changed = true;
 
-    /** Makes the links; {@code answers} tells which members of this data centre can be links. */
-    CentreLinks(MembershipContext context, LinkReports reports, Predicate<Held> answers) {
+    /** Creates the links; {@code isEligible} tests which members of this data centre are eligible to hold a link. */
+    CentreLinks(MembershipContext context, LinkReports reports, Predicate<HeldRecord> isEligible) {
         this.context = context;
         this.reports = reports;
-        this.answers = answers;
+        this.isEligible = isEligible;
     }
 
-    /** Notes that members or data centres have changed, so that the links have to be chosen anew. */
+    /** Marks the choice of links as outdated after a change of members or data centres. */
     void onChange() {
         changed = true;
     }
 
-    /** The data centres to which this node is a link. */
+    /** Returns the data centres to which this node holds a link. */
     Set<DataCentre> centres() {
         return links.keySet();
     }
@@ -74,7 +74,7 @@
     void tick(long now) {
         if (changed) {
             changed = false;
-            choose(now);
+            chooseLinks(now);
         }
         links.forEach((centre, link) -> {
             if (link.nextProbe <= now) {
@@ -83,28 +83,30 @@
         });
     }
 
-    /** After a pause of this node: what it did not hear meanwhile says nothing of others. */
-    void restartClocks(long now) {
+    /**
+     * Resets the failure state of all links after a pause of this node, during which it could not receive any answers.
+     */
+    void restartTimeouts(long now) {
         links.values().forEach(link -> {
             link.lastAnswer = now;
             link.failures = 0;
         });
     }
 
-    private void choose(long now) {
-        List<Held> own = members(context.ownCentre());
-        own.removeIf(held -> !answers.test(held));
+    private void chooseLinks(long now) {
+        List<HeldRecord> own = members(context.ownCentre());
+        own.removeIf(held -> !isEligible.test(held));
         Set<DataCentre> wanted = new LinkedHashSet<>();
         for (DataCentre centre : context.view().dataCentres()) {
             if (!centre.equals(context.ownCentre())) {
-                int rank = Rendezvous.rank(context.id(), own, centre.value(), LINKS);
-                if (rank < LINKS) {
+                int rank = Rendezvous.rank(context.id(), own, centre.value(), LINKS_PER_CENTRE);
+                if (rank < LINKS_PER_CENTRE) {
                     wanted.add(centre);
                     links.computeIfAbsent(centre, name -> new Link(rank, now));
                 }
             }
         }
-        links.keySet().stream().filter(centre -> !wanted.contains(centre)).forEach(reports::forgetOwn);
+        links.keySet().stream().filter(centre -> !wanted.contains(centre)).forEach(reports::discardOwn);
         links.keySet().retainAll(wanted);
         publishPeers();
     }
@@ -124,45 +126,46 @@
 
             @Override
             public void unanswered() {
-                onSilence(centre, link);
+                onProbeFailure(centre, link);
             }
         }));
     }
 
-    private void onSilence(DataCentre centre, Link link) {
+    private void onProbeFailure(DataCentre centre, Link link) {
         link.failures++;
         link.offset++;
         long now = context.now();
-        boolean tried = link.failures >= Math.min(MIN_FAILURES, members(centre).size());
-        if (tried && now - link.lastAnswer >= UNREACHABLE_AFTER.toNanos() && links.containsKey(centre)) {
+        boolean enoughFailures =
+                link.failures >= Math.min(MIN_FAILURES, members(centre).size());
+        if (enoughFailures && now - link.lastAnswer >= UNREACHABLE_AFTER.toNanos() && links.containsKey(centre)) {
             reports.report(centre, false);
         } else {
-            link.nextProbe = Math.min(link.nextProbe, now + RETRY.toNanos());
+            link.nextProbe = Math.min(link.nextProbe, now + RETRY_DELAY.toNanos());
         }
     }
 
-    /** The node over there that this link probes: the one of its own rank, and after failures the next ones. */
+    /** Returns the node to probe: the one of the same rank as this link, and after failures the following ones. */
     private Optional<MemberRecord> candidate(DataCentre centre, Link link) {
-        List<Held> members = members(centre);
+        List<HeldRecord> members = members(centre);
         if (members.isEmpty()) {
             return Optional.empty();
         }
         String topic = context.ownCentre().value();
-        List<Held> best = Rendezvous.best(members, topic, MAX_CANDIDATES);
-        int place = (link.rank + link.offset) % members.size();
-        if (place < best.size()) {
-            return Optional.of(best.get(place).record());
+        List<HeldRecord> best = Rendezvous.best(members, topic, MAX_CANDIDATES);
+        int position = (link.rank + link.offset) % members.size();
+        if (position < best.size()) {
+            return Optional.of(best.get(position).record());
         }
-        // Far down the list the order no longer matters: any that has not been tried will do.
-        members.sort(Comparator.comparing(Held::id));
-        return Optional.of(members.get(place).record());
+        // Beyond the ranked candidates the order is irrelevant; any member not yet tried is suitable.
+        members.sort(Comparator.comparing(HeldRecord::id));
+        return Optional.of(members.get(position).record());
     }
 
-    /** The members that may answer; those missing over there are tried when there are no others. */
-    private List<Held> members(DataCentre centre) {
-        List<Held> live = new ArrayList<>();
-        List<Held> missing = new ArrayList<>();
-        for (Held held : context.view().members(centre)) {
+    /** Returns the members to probe; members marked missing are included only when there are no others. */
+    private List<HeldRecord> members(DataCentre centre) {
+        List<HeldRecord> live = new ArrayList<>();
+        List<HeldRecord> missing = new ArrayList<>();
+        for (HeldRecord held : context.view().members(centre)) {
             if (held.record().status() == MemberStatus.MISSING) {
                 missing.add(held);
             } else if (held.record().isLive()) {
--- a/src/main/java/io/beryldock/membership/CentreView.java
+++ b/src/main/java/io/beryldock/membership/CentreView.java
@@ -2,7 +2,7 @@
 
 import com.google.common.primitives.Longs;
 import io.beryldock.call.NodeId;
-import io.beryldock.membership.MembershipView.Held;
+import io.beryldock.membership.MembershipView.HeldRecord;
 import java.util.Collection;
 import java.util.Collections;
 import java.util.HashMap;
@@ -10,16 +10,16 @@
 import java.util.Map;
 
 /**
- * The records of one data centre, and their digest in buckets.
+ * Holds the records of one data centre and their bucketed digest.
  *
- * <p>Invariant: a bucket is the exclusive or of the fingerprints of the live records whose id falls into it. Control
- * thread only.
+ * <p>Invariant: the value of a bucket is the exclusive or of the fingerprints of the live records whose ids hash to it.
+ * Confined to the control thread.
  */
 final class CentreView {
 
     static final int BUCKETS = 64;
 
-    private final Map<NodeId, Held> members = new HashMap<>();
+    private final Map<NodeId, HeldRecord> members = new HashMap<>();
     private final long[] buckets = new long[BUCKETS];
     private long root;
 
@@ -27,21 +27,21 @@
         return Collections.nCopies(BUCKETS, 0L);
     }
 
-    static int bucketOf(Held held) {
+    static int bucketOf(HeldRecord held) {
         return (int) Math.floorMod(held.idHash(), (long) BUCKETS);
     }
 
-    void put(Held held) {
+    void put(HeldRecord held) {
         members.put(held.id(), held);
         toggle(held);
     }
 
-    void remove(Held held) {
+    void remove(HeldRecord held) {
         members.remove(held.id());
         toggle(held);
     }
 
-    Collection<Held> members() {
+    Collection<HeldRecord> members() {
         return Collections.unmodifiableCollection(members.values());
     }
 
@@ -53,7 +53,7 @@
         return Longs.asList(buckets.clone());
     }
 
-    private void toggle(Held held) {
+    private void toggle(HeldRecord held) {
         if (held.record().isLive()) {
             buckets[bucketOf(held)] ^= held.fingerprint();
             root ^= held.fingerprint();
--- a/src/main/java/io/beryldock/membership/Directory.java
+++ b/src/main/java/io/beryldock/membership/Directory.java
@@ -19,11 +19,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * An immutable picture of all nodes and targets believed alive, read by traffic threads.
+ * An immutable snapshot of all nodes and targets believed to be alive, read by the traffic threads.
  *
- * <p>It may be old: the gate of a target is its own node, so a wrong entry costs an attempt, never a wrong run. It is
- * made of one part a data centre, so that a change replaces one part; what joins the parts is worked out on first use.
- * Nodes that do not answer stay in it while a partition may be the cause: {@link #reachability} tells. Thread safe.
+ * <p>The snapshot may be stale: each request is admitted by the node of its target, so a wrong entry costs a failed
+ * attempt but never leads to a wrong execution. It consists of one part per data centre, so that a change replaces one
+ * part only; collections over all parts are computed on first use. Nodes that do not answer remain in the directory
+ * while a partition may be the cause, see {@link #reachability}. Thread-safe.
  */
 public final class Directory {
 
@@ -48,7 +49,7 @@
         return EMPTY;
     }
 
-    /** A directory of these nodes and targets, all reachable. */
+    /** Creates a directory of the given nodes and targets, all of them reachable. */
     public static Directory of(List<NodeDescriptor> nodes, List<TargetRecord> targets) {
         Map<DataCentre, List<NodeDescriptor>> nodesByCentre = new LinkedHashMap<>();
         nodes.forEach(node -> nodesByCentre
@@ -90,7 +91,7 @@
         return Optional.empty();
     }
 
-    /** So many nodes drawn by chance, all there are when there are fewer; never the node with that id. */
+    /** Returns up to {@code number} distinct nodes chosen at random, never the node with the id {@code self}. */
     public ImmutableList<NodeDescriptor> randomOthers(NodeId self, int number, RandomGenerator random) {
         List<NodeDescriptor> others = new ArrayList<>(nodes().values());
         others.removeIf(node -> node.id().equals(self));
@@ -105,7 +106,7 @@
         return targets.get();
     }
 
-    /** Every target of the service, whatever its state or data centre. */
+    /** Returns all targets of the service, regardless of state and data centre. */
     public ImmutableList<TargetRecord> targetsOf(ServiceName service) {
         ImmutableList<TargetRecord> known = byService.get(service);
         if (known != null) {
@@ -113,13 +114,13 @@
         }
         ImmutableList<TargetRecord> joined = joinTargetsOf(service);
         if (!joined.isEmpty()) {
-            // Unknown names are not kept: callers choose them, and could fill the memory with them.
+            // Unknown service names are not cached: callers choose them and could exhaust the memory.
             byService.put(service, joined);
         }
         return joined;
     }
 
-    /** Whether the node is believed reached; a node that is not in the directory is unreachable. */
+    /** Returns the believed reachability of the node; a node that is not in the directory is unreachable. */
     public Reachability reachability(NodeDescriptor node) {
         DirectoryPart part = parts.get(node.dataCentre());
         if (part == null
@@ -127,19 +128,21 @@
                 || !part.nodes().containsKey(node.id())) {
             return Reachability.UNREACHABLE;
         }
-        return part.doubtful().getOrDefault(node.id(), Reachability.REACHABLE);
+        return part.notReachable().getOrDefault(node.id(), Reachability.REACHABLE);
     }
 
     public ImmutableSet<DataCentre> dataCentres() {
         return parts.keySet();
     }
 
-    /** The data centres that answer none of this one's links; their targets are kept. */
+    /** Returns the data centres that no link of this data centre reaches; their targets remain in the directory. */
     public ImmutableSet<DataCentre> unreachableDataCentres() {
         return unreachable;
     }
 
-    /** Whether the view behind is being fetched anew, at the start or after a pause, so that this may be old. */
+    /**
+     * Whether the underlying view is being fetched, at the start or after a pause, so that this directory may be stale.
+     */
     public boolean isRefreshing() {
         return refreshing;
     }
--- a/src/main/java/io/beryldock/membership/DirectoryFeed.java
+++ b/src/main/java/io/beryldock/membership/DirectoryFeed.java
@@ -8,10 +8,9 @@
 import java.util.function.Supplier;
 
 /**
- * Makes directories and hands them to their listeners; changes that come together are published together, after a
- * moment.
+ * Builds directories and publishes them to listeners; changes within a short delay are published together.
  *
- * <p>Control thread only, but for {@link #directory()}.
+ * <p>Confined to the control thread, except for {@link #directory()}.
  */
 final class DirectoryFeed {
 
@@ -19,10 +18,10 @@
     private final Duration delay;
     private final Supplier<Directory> source;
     private final List<Consumer<Directory>> listeners = new CopyOnWriteArrayList<>();
-    private boolean armed;
+    private boolean scheduled;
     private volatile Directory directory = Directory.empty();
 
-    /** A feed of what the source makes of the present state. */
+    /** Creates a feed that builds each directory by calling {@code source}. */
     DirectoryFeed(TimerService timers, Duration delay, Supplier<Directory> source) {
         this.timers = timers;
         this.delay = delay;
@@ -38,16 +37,16 @@
         return () -> listeners.remove(listener);
     }
 
-    void publishSoon() {
-        if (!armed) {
-            armed = true;
+    void schedulePublish() {
+        if (!scheduled) {
+            scheduled = true;
             timers.after(delay, this::publish);
         }
     }
 
-    /** Publishes what is known now. */
+    /** Builds and publishes a directory of the current state immediately. */
     void publish() {
-        armed = false;
+        scheduled = false;
         directory = source.get();
         listeners.forEach(listener -> listener.accept(directory));
     }
--- a/src/main/java/io/beryldock/membership/DirectoryPart.java
+++ b/src/main/java/io/beryldock/membership/DirectoryPart.java
@@ -12,15 +12,15 @@
 /**
  * The nodes and targets of one data centre in a {@link Directory}. Immutable.
  *
- * @param doubtful the nodes that are not plainly reachable
+ * @param notReachable the reachability of each node that is not {@link Reachability#REACHABLE}
  */
 record DirectoryPart(
         ImmutableMap<NodeId, NodeDescriptor> nodes,
         ImmutableMap<ServiceName, ImmutableList<TargetRecord>> targets,
-        ImmutableMap<NodeId, Reachability> doubtful) {
+        ImmutableMap<NodeId, Reachability> notReachable) {
 
     static DirectoryPart of(
-            List<NodeDescriptor> nodes, List<TargetRecord> targets, Map<NodeId, Reachability> doubtful) {
+            List<NodeDescriptor> nodes, List<TargetRecord> targets, Map<NodeId, Reachability> notReachable) {
         ImmutableMap.Builder<NodeId, NodeDescriptor> byId = ImmutableMap.builderWithExpectedSize(nodes.size());
         nodes.forEach(node -> byId.put(node.id(), node));
         Map<ServiceName, List<TargetRecord>> byService = new HashMap<>();
@@ -29,6 +29,6 @@
                 .add(target));
         ImmutableMap.Builder<ServiceName, ImmutableList<TargetRecord>> lists = ImmutableMap.builder();
         byService.forEach((name, list) -> lists.put(name, ImmutableList.copyOf(list)));
-        return new DirectoryPart(byId.buildKeepingLast(), lists.build(), ImmutableMap.copyOf(doubtful));
+        return new DirectoryPart(byId.buildKeepingLast(), lists.build(), ImmutableMap.copyOf(notReachable));
     }
 }
--- a/src/main/java/io/beryldock/membership/DirectoryPublisher.java
+++ b/src/main/java/io/beryldock/membership/DirectoryPublisher.java
@@ -2,7 +2,7 @@
 
 import io.beryldock.call.DataCentre;
 import io.beryldock.call.NodeId;
-import io.beryldock.membership.MembershipView.Held;
+import io.beryldock.membership.MembershipView.HeldRecord;
 import io.beryldock.time.TimerService;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -17,17 +17,17 @@
 import java.util.function.Supplier;
 
 /**
- * Publishes the view to traffic as a {@link Directory}.
+ * Publishes the membership view to the traffic threads as a {@link Directory}.
  *
- * <p>Changes that come together are published together, after a moment, and only the parts that changed are made anew.
- * Invariant: a directory holds the live records and no others. Control thread only, but for {@link #directory()}.
+ * <p>Changes within a short delay are published together, and only the parts that changed are rebuilt. Invariant: a
+ * directory contains exactly the live records. Confined to the control thread, except for {@link #directory()}.
  */
 final class DirectoryPublisher {
 
     private static final Duration DELAY = Duration.ofMillis(50);
 
     private final MembershipView view;
-    private final Function<Held, Reachability> reachability;
+    private final Function<HeldRecord, Reachability> reachability;
     private final Supplier<Set<DataCentre>> unreachable;
     private final BooleanSupplier refreshing;
     private final Map<DataCentre, DirectoryPart> parts = new LinkedHashMap<>();
@@ -37,14 +37,14 @@
     DirectoryPublisher(
             MembershipView view,
             TimerService timers,
-            Function<Held, Reachability> reachability,
+            Function<HeldRecord, Reachability> reachability,
             Supplier<Set<DataCentre>> unreachable,
             BooleanSupplier refreshing) {
         this.view = view;
         this.reachability = reachability;
         this.unreachable = unreachable;
         this.refreshing = refreshing;
-        this.feed = new DirectoryFeed(timers, DELAY, this::make);
+        this.feed = new DirectoryFeed(timers, DELAY, this::build);
     }
 
     Directory directory() {
@@ -55,45 +55,45 @@
         return feed.subscribe(listener);
     }
 
-    /** Notes that records of the data centre have changed. */
+    /** Schedules publication after records of the data centre have changed. */
     void onChange(DataCentre centre) {
         changed.add(centre);
         onChange();
     }
 
-    /** Notes that something beside the records has changed. */
+    /** Schedules publication after a change that is not in a record, such as reachability. */
     void onChange() {
-        feed.publishSoon();
+        feed.schedulePublish();
     }
 
-    /** Publishes what is known now. */
+    /** Publishes the current state immediately. */
     void publish() {
         feed.publish();
     }
 
-    private Directory make() {
+    private Directory build() {
         for (DataCentre centre : changed) {
-            parts.put(centre, part(centre));
+            parts.put(centre, buildPart(centre));
             parts.values().removeIf(part -> part.nodes().isEmpty());
         }
         changed.clear();
         return Directory.ofParts(parts, unreachable.get(), refreshing.getAsBoolean());
     }
 
-    private DirectoryPart part(DataCentre centre) {
+    private DirectoryPart buildPart(DataCentre centre) {
         List<NodeDescriptor> nodes = new ArrayList<>();
         List<TargetRecord> targets = new ArrayList<>();
-        Map<NodeId, Reachability> doubtful = new LinkedHashMap<>();
-        for (Held held : view.members(centre)) {
+        Map<NodeId, Reachability> notReachable = new LinkedHashMap<>();
+        for (HeldRecord held : view.members(centre)) {
             if (held.record().isLive()) {
                 nodes.add(held.record().node());
                 held.record().targetRecord().ifPresent(targets::add);
-                Reachability believed = reachability.apply(held);
-                if (believed != Reachability.REACHABLE) {
-                    doubtful.put(held.id(), believed);
+                Reachability current = reachability.apply(held);
+                if (current != Reachability.REACHABLE) {
+                    notReachable.put(held.id(), current);
                 }
             }
         }
-        return DirectoryPart.of(nodes, targets, doubtful);
+        return DirectoryPart.of(nodes, targets, notReachable);
     }
 }
--- a/src/main/java/io/beryldock/membership/FailureDetector.java
+++ b/src/main/java/io/beryldock/membership/FailureDetector.java
@@ -1,7 +1,7 @@
 package io.beryldock.membership;
 
 import io.beryldock.call.NodeId;
-import io.beryldock.membership.MembershipView.Held;
+import io.beryldock.membership.MembershipView.HeldRecord;
 import io.beryldock.timeline.EventKind;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -13,11 +13,11 @@
 import java.util.Set;
 
 /**
- * Finds the nodes of this data centre that no longer answer: probes the successors on the rings, has third nodes try,
- * and suspects.
+ * Detects nodes of this data centre that no longer answer: probes the ring successors of this node, directly and then
+ * through helpers, and marks a node as suspected when both fail.
  *
- * <p>What becomes of a suspected node is up to {@link SuspicionJudge}. Invariant: a node is suspected only as
- * {@link IndirectProber} confirms its silence. Control thread only.
+ * <p>{@link SuspicionResolver} decides on the further status of a suspected node. Invariant: a node becomes suspected
+ * only after {@link IndirectProber} has confirmed that it does not answer. Confined to the control thread.
  */
 final class FailureDetector {
 
@@ -27,75 +27,78 @@
     private final MembershipContext context;
     private final MembershipView view;
     private final IndirectProber indirect;
-    private final RecordIntake intake;
-    private final SuspicionJudge judge;
-    private final Accusations accusations = new Accusations();
+    private final RecordMerger merger;
+    private final SuspicionResolver resolver;
+    private final SuspicionBackoff suspicionBackoff = new SuspicionBackoff();
 
     private final Map<NodeId, Long> nextProbes = new LinkedHashMap<>();
     private final Set<NodeId> probing = new LinkedHashSet<>();
-    private final Map<NodeId, Long> hints = new LinkedHashMap<>();
+    private final Map<NodeId, Long> recentHints = new LinkedHashMap<>();
     private boolean ringChanged = true;
-    private long quietUntil;
+    private long suspicionsSuspendedUntil;
     private long nextReprobe;
 
-    FailureDetector(MembershipContext context, IndirectProber indirect, RecordIntake intake) {
+    FailureDetector(MembershipContext context, IndirectProber indirect, RecordMerger merger) {
         this.context = context;
         this.view = context.view();
         this.indirect = indirect;
-        this.intake = intake;
-        this.judge = new SuspicionJudge(context, intake, this::isObserverOf);
-        this.quietUntil = context.now();
+        this.merger = merger;
+        this.resolver = new SuspicionResolver(context, merger, this::isObserverOf);
+        this.suspicionsSuspendedUntil = context.now();
         this.nextReprobe = context.now();
     }
 
-    /** Notes a changed record of this data centre. */
+    /** Handles a changed record of this data centre. */
     void onChange(MemberRecord after) {
         ringChanged = true;
-        judge.onChange(after);
+        resolver.onChange(after);
     }
 
-    /** Whether this node is one of those that probe the given one. */
+    /** Whether this node probes the given node regularly. */
     boolean isObserverOf(NodeId id) {
         return nextProbes.containsKey(id);
     }
 
-    /** Whether half of the data centre or more is silent. */
+    /** Whether half or more of the nodes of this data centre do not answer. */
     boolean isMassLoss() {
-        return judge.isMassLoss();
+        return resolver.isMassLoss();
     }
 
-    /** Accuses nobody until then: after a pause, what this node missed looks like the silence of others. */
-    void keepQuietUntil(long end) {
-        quietUntil = end;
+    /**
+     * Suspends new suspicions until the given time: after a pause of this node, messages that it missed are
+     * indistinguishable from nodes that do not answer.
+     */
+    void suspendSuspicionsUntil(long end) {
+        suspicionsSuspendedUntil = end;
         probing.clear();
-        indirect.forgetOpenProbes();
+        indirect.discardOpenProbes();
         long now = context.now();
         nextProbes.replaceAll((id, at) -> now);
-        judge.restartClocks(now);
+        resolver.restartTimeouts(now);
     }
 
-    /** Forgets what was found of others, with the view itself. */
-    void forgetAll() {
-        judge.forgetAll();
+    /** Discards all findings about other nodes, when the view itself is discarded. */
+    void discardAll() {
+        resolver.discardAll();
         nextProbes.clear();
         ringChanged = true;
     }
 
-    /** Probes a node of this data centre at once, if it was not hinted at a moment ago. */
+    /** Probes a node of this data centre immediately, unless a recent hint has already caused a probe. */
     void hintUnreachable(NodeId id) {
         long now = context.now();
-        Long last = hints.get(id);
+        Long last = recentHints.get(id);
         boolean recent = last != null && now - last < HINT_PERIOD.toNanos();
         if (recent || !isLocalLive(id)) {
             return;
         }
-        hints.put(id, now);
+        recentHints.put(id, now);
         probe(id);
     }
 
-    /** Lets a suspected node that answered traffic deny at once. */
+    /** Probes a suspected node that answered traffic, so that it can refute the suspicion without delay. */
     void hintAlive(NodeId id) {
-        if (judge.isSuspected(id)) {
+        if (resolver.isSuspected(id)) {
             hintUnreachable(id);
         }
     }
@@ -107,15 +110,15 @@
         }
         probeDue(now);
         indirect.tick(now);
-        judge.tick(now, now - quietUntil < 0);
-        reprobeSilent(now);
-        accusations.forgetOld(now);
-        hints.values().removeIf(at -> now - at > HINT_PERIOD.toNanos());
+        resolver.tick(now, now - suspicionsSuspendedUntil < 0);
+        reprobeUnresponsive(now);
+        suspicionBackoff.removeExpired(now);
+        recentHints.values().removeIf(at -> now - at > HINT_PERIOD.toNanos());
     }
 
     private void chooseSuccessors(long now) {
-        List<Held> members = new ArrayList<>();
-        for (Held held : view.members(context.ownCentre())) {
+        List<HeldRecord> members = new ArrayList<>();
+        for (HeldRecord held : view.members(context.ownCentre())) {
             if (held.record().isLive() && held.record().status() != MemberStatus.MISSING) {
                 members.add(held);
             }
@@ -152,38 +155,39 @@
             public void answered(NodeId by) {
                 probing.remove(id);
                 indirect.onAnswer(id);
-                accusations.clear(id);
+                suspicionBackoff.reset(id);
             }
 
             @Override
             public void unanswered() {
-                indirect.probe(id, silent -> endIndirect(target, silent));
+                indirect.probe(id, unresponsive -> onIndirectResult(target, unresponsive));
             }
         });
     }
 
-    private void endIndirect(MemberRecord target, boolean silent) {
+    private void onIndirectResult(MemberRecord target, boolean unresponsive) {
         probing.remove(target.id());
         long now = context.now();
-        boolean mayAccuse = now - quietUntil >= 0 && accusations.isAllowed(target.id(), now);
+        boolean maySuspect =
+                now - suspicionsSuspendedUntil >= 0 && suspicionBackoff.isSuspicionAllowed(target.id(), now);
         boolean unchanged = view.find(target.id()).equals(Optional.of(target));
-        if (silent && mayAccuse && unchanged && target.status() == MemberStatus.ALIVE) {
-            accusations.note(target.id(), now);
+        if (unresponsive && maySuspect && unchanged && target.status() == MemberStatus.ALIVE) {
+            suspicionBackoff.onSuspicion(target.id(), now);
             context.events()
                     .record(EventKind.MEMBER_SUSPECTED, target.id().value(), "does not answer this node nor others");
-            intake.accept(target.withStatus(MemberStatus.SUSPECTED));
+            merger.accept(target.withStatus(MemberStatus.SUSPECTED));
         }
     }
 
-    /** Tries one of the silent now and then, so that the end of a partition is noticed. */
-    private void reprobeSilent(long now) {
+    /** Periodically probes one unresponsive node, so that the end of a partition is detected. */
+    private void reprobeUnresponsive(long now) {
         if (now - nextReprobe < 0) {
             return;
         }
         nextReprobe = now + REPROBE_PERIOD.toNanos();
-        List<NodeId> silent = judge.silent();
-        if (!silent.isEmpty()) {
-            probe(silent.get(context.random().nextInt(silent.size())));
+        List<NodeId> unresponsive = resolver.unresponsive();
+        if (!unresponsive.isEmpty()) {
+            probe(unresponsive.get(context.random().nextInt(unresponsive.size())));
         }
     }
 
--- a/src/main/java/io/beryldock/membership/IndirectProber.java
+++ b/src/main/java/io/beryldock/membership/IndirectProber.java
@@ -1,7 +1,7 @@
 package io.beryldock.membership;
 
 import io.beryldock.call.NodeId;
-import io.beryldock.membership.MembershipView.Held;
+import io.beryldock.membership.MembershipView.HeldRecord;
 import io.beryldock.wire.MembershipMessage;
 import io.beryldock.wire.MembershipProbeReport;
 import io.beryldock.wire.MembershipProbeRequest;
@@ -13,58 +13,60 @@
 import java.util.Map;
 
 /**
- * Asks third nodes to ping a silent one, and does so for others.
+ * Probes an unresponsive node through other nodes of the data centre (helpers), and serves such requests of other
+ * nodes.
  *
- * <p>A node counts as silent when at least one helper says that it too got no answer. A node that hears nothing at
- * all, from helpers neither, may itself be the one cut off, and would otherwise accuse everyone it probes at once; it
- * gives the target {@link #UNCONFIRMED_LIMIT} probes, since all helpers may as well have failed together. Control
- * thread only.
+ * <p>A node is considered unresponsive when at least one helper reports that it received no answer either. A node that
+ * receives no answers at all, not even from helpers, may itself be disconnected and would otherwise suspect every node
+ * that it probes. It therefore requires {@link #MAX_UNCONFIRMED_FAILURES} failed probes of a target without
+ * confirmation; a limit is needed because all helpers may have failed at the same time as the target. Confined to the
+ * control thread.
  */
 final class IndirectProber {
 
     private static final int HELPERS = 3;
-    private static final int UNCONFIRMED_LIMIT = 3;
+    private static final int MAX_UNCONFIRMED_FAILURES = 3;
 
-    /** Hears whether the target is silent to others too. */
+    /** Receives the result of an indirect probe. */
     @FunctionalInterface
-    interface Verdict {
+    interface ResultListener {
 
-        void silent(boolean confirmed);
+        void onResult(boolean unresponsive);
     }
 
-    /** A question put to helpers. Control thread only. */
-    private static final class Question {
+    /** An indirect probe in progress. Confined to the control thread. */
+    private static final class IndirectProbe {
         private final NodeId target;
-        private final long askedAt;
-        private final Verdict verdict;
+        private final long startedAt;
+        private final ResultListener listener;
         private boolean confirmed;
 
-        Question(NodeId target, long askedAt, boolean confirmed, Verdict verdict) {
+        IndirectProbe(NodeId target, long startedAt, boolean confirmed, ResultListener listener) {
             this.target = target;
-            this.askedAt = askedAt;
+            this.startedAt = startedAt;
             this.confirmed = confirmed;
-            this.verdict = verdict;
+            this.listener = listener;
         }
     }
 
     private final MembershipContext context;
-    private final Duration patience;
-    private final Map<Integer, Question> questions = new LinkedHashMap<>();
-    private final Map<NodeId, Integer> unconfirmed = new LinkedHashMap<>();
+    private final Duration timeout;
+    private final Map<Integer, IndirectProbe> pending = new LinkedHashMap<>();
+    private final Map<NodeId, Integer> unconfirmedFailures = new LinkedHashMap<>();
     private int lastNumber;
 
     IndirectProber(MembershipContext context) {
         this.context = context;
-        // A helper waits for one timeout before it reports silence.
-        this.patience = context.settings().probeTimeout().multipliedBy(2);
+        // A helper waits for one probe timeout before it reports that the target did not answer.
+        this.timeout = context.settings().probeTimeout().multipliedBy(2);
     }
 
-    /** Asks helpers about the target; the verdict comes once, within two probe timeouts. */
-    void probe(NodeId target, Verdict verdict) {
+    /** Probes the target through helpers; the listener is called once, within two probe timeouts. */
+    void probe(NodeId target, ResultListener listener) {
         List<MemberRecord> helpers = chooseHelpers(target);
         lastNumber++;
-        // Where there is no third node its silence towards this one has to do.
-        questions.put(lastNumber, new Question(target, context.now(), helpers.isEmpty(), verdict));
+        // When no helper exists, the failed direct probe is sufficient.
+        pending.put(lastNumber, new IndirectProbe(target, context.now(), helpers.isEmpty(), listener));
         MembershipProbeRequest.Builder request =
                 MembershipProbeRequest.newBuilder().setNumber(lastNumber).setTarget(target.value());
         for (MemberRecord helper : helpers) {
@@ -72,7 +74,7 @@
         }
     }
 
-    /** Pings the target for another node. */
+    /** Probes the target on behalf of another node and reports the result to that node. */
     void onRequest(NodeId from, MembershipProbeRequest request) {
         Prober.ProbeListener listener = new Prober.ProbeListener() {
             @Override
@@ -91,48 +93,49 @@
     }
 
     void onReport(MembershipProbeReport report) {
-        Question question = questions.get(report.getNumber());
-        if (question == null) {
+        IndirectProbe probe = pending.get(report.getNumber());
+        if (probe == null) {
             return;
         }
         if (report.getAnswered()) {
-            questions.remove(report.getNumber());
-            unconfirmed.remove(question.target);
-            question.verdict.silent(false);
+            pending.remove(report.getNumber());
+            unconfirmedFailures.remove(probe.target);
+            probe.listener.onResult(false);
         } else {
-            question.confirmed = true;
+            probe.confirmed = true;
         }
     }
 
     void tick(long now) {
-        List<Question> over = new ArrayList<>();
-        Iterator<Question> all = questions.values().iterator();
+        List<IndirectProbe> expired = new ArrayList<>();
+        Iterator<IndirectProbe> all = pending.values().iterator();
         while (all.hasNext()) {
-            Question question = all.next();
-            if (now - question.askedAt >= patience.toNanos()) {
+            IndirectProbe probe = all.next();
+            if (now - probe.startedAt >= timeout.toNanos()) {
                 all.remove();
-                over.add(question);
+                expired.add(probe);
             }
         }
-        over.forEach(question -> question.verdict.silent(isSilent(question)));
+        expired.forEach(probe -> probe.listener.onResult(isUnresponsive(probe)));
     }
 
-    /** Notes that the target answered this node itself. */
+    /** Resets the count of unconfirmed failures of a target that answered this node directly. */
     void onAnswer(NodeId target) {
-        unconfirmed.remove(target);
+        unconfirmedFailures.remove(target);
     }
 
-    private boolean isSilent(Question question) {
-        int times = question.confirmed ? UNCONFIRMED_LIMIT : unconfirmed.merge(question.target, 1, Integer::sum);
-        if (times >= UNCONFIRMED_LIMIT) {
-            unconfirmed.remove(question.target);
+    private boolean isUnresponsive(IndirectProbe probe) {
+        int failures =
+                probe.confirmed ? MAX_UNCONFIRMED_FAILURES : unconfirmedFailures.merge(probe.target, 1, Integer::sum);
+        if (failures >= MAX_UNCONFIRMED_FAILURES) {
+            unconfirmedFailures.remove(probe.target);
         }
-        return times >= UNCONFIRMED_LIMIT;
+        return failures >= MAX_UNCONFIRMED_FAILURES;
     }
 
-    void forgetOpenProbes() {
-        questions.clear();
-        unconfirmed.clear();
+    void discardOpenProbes() {
+        pending.clear();
+        unconfirmedFailures.clear();
     }
 
     private void report(NodeId to, int number, boolean answered) {
@@ -143,9 +146,9 @@
 
     private List<MemberRecord> chooseHelpers(NodeId target) {
         List<MemberRecord> others = new ArrayList<>();
-        for (Held held : context.view().members(context.ownCentre())) {
-            boolean third = !held.id().equals(context.id()) && !held.id().equals(target);
-            if (third && held.record().status() == MemberStatus.ALIVE) {
+        for (HeldRecord held : context.view().members(context.ownCentre())) {
+            boolean eligible = !held.id().equals(context.id()) && !held.id().equals(target);
+            if (eligible && held.record().status() == MemberStatus.ALIVE) {
                 others.add(held.record());
             }
         }
--- a/src/main/java/io/beryldock/membership/LinkReports.java
+++ b/src/main/java/io/beryldock/membership/LinkReports.java
@@ -15,26 +15,28 @@
 import java.util.Set;
 
 /**
- * What the links of this data centre find of the others, passed on within the data centre.
+ * Shares the findings of the links of this data centre about the other data centres, and determines from them which
+ * data centres are unreachable.
  *
- * <p>A data centre is unreachable when at least one link says so and none says the opposite; a link that reaches it
- * objects when it hears so. Reports that are not renewed expire. The targets of an unreachable data centre stay in the
- * directory, marked: a cut between data centres shows no failure of theirs. Control thread only.
+ * <p>A data centre is unreachable when at least one link reports it as unreachable and no link reports it as reachable;
+ * a link that reaches it contradicts a received report to the contrary. Reports that are not renewed expire. The
+ * targets of an unreachable data centre remain in the directory, marked as unreachable, because a partition between
+ * data centres does not mean that they have failed. Confined to the control thread.
  */
 final class LinkReports {
 
-    private static final Duration RENEWAL = Duration.ofSeconds(10);
+    private static final Duration RENEWAL_PERIOD = Duration.ofSeconds(10);
     private static final Duration EXPIRY = Duration.ofSeconds(30);
 
-    /** Exceeds the time that a copy of a report can be on its way, held up by a paused node for instance. */
-    private static final Duration MEMORY = Duration.ofMinutes(10);
+    /** Exceeds the longest delay of a copy of a report, for example a copy held up by a paused node. */
+    private static final Duration REPORT_RETENTION = Duration.ofMinutes(10);
 
-    private record Received(MembershipLinkReport report, long at) {}
+    private record ReceivedReport(MembershipLinkReport report, long receivedAt) {}
 
     private final MembershipContext context;
     private final Runnable onChange;
-    private final Map<DataCentre, Boolean> own = new LinkedHashMap<>();
-    private final Map<Long, Received> received = new LinkedHashMap<>();
+    private final Map<DataCentre, Boolean> ownFindings = new LinkedHashMap<>();
+    private final Map<Long, ReceivedReport> received = new LinkedHashMap<>();
     private final Map<DataCentre, Long> unreachable = new LinkedHashMap<>();
     private long lastSent;
     private long number;
@@ -45,12 +47,12 @@
         this.lastSent = context.now();
     }
 
-    /** The data centres that no link of this one reaches. */
+    /** Returns the data centres that no link of this data centre reaches. */
     Set<DataCentre> unreachable() {
         return unreachable.keySet();
     }
 
-    /** The data centres that have been unreachable for longer than the given time. */
+    /** Returns the data centres that have been unreachable for longer than the given time. */
     List<DataCentre> unreachableFor(Duration time, long now) {
         return unreachable.entrySet().stream()
                 .filter(entry -> now - entry.getValue() > time.toNanos())
@@ -58,52 +60,55 @@
                 .toList();
     }
 
-    /** Takes the finding of this node's own link. */
+    /**
+     * Stores a finding of this node's own link and publishes it when it changes the state or contradicts other reports.
+     */
     void report(DataCentre centre, boolean reachable) {
-        Boolean before = own.put(centre, reachable);
-        boolean news = before == null ? !reachable : before != reachable;
-        boolean objection = reachable && unreachable.containsKey(centre);
-        if (news || objection) {
+        Boolean before = ownFindings.put(centre, reachable);
+        boolean changed = before == null ? !reachable : before != reachable;
+        boolean contradicts = reachable && unreachable.containsKey(centre);
+        if (changed || contradicts) {
             publishOwn();
         }
     }
 
-    /** Drops the finding when this node is no link to the data centre any more. */
-    void forgetOwn(DataCentre centre) {
-        if (own.remove(centre) != null && unreachable.containsKey(centre)) {
+    /** Discards the finding on a data centre to which this node no longer holds a link. */
+    void discardOwn(DataCentre centre) {
+        if (ownFindings.remove(centre) != null && unreachable.containsKey(centre)) {
             publishOwn();
         }
     }
 
     void onReport(NodeId from, MembershipLinkReport report) {
-        // By start, not by id: were reports of two starts of a node taken for news of each other, each copy would be
-        // passed on again and again, which showed as a storm of messages without end.
-        Received last = received.get(report.getIncarnation());
+        // Reports are keyed by incarnation, not by id. If reports of two incarnations of one node counted as updates of
+        // each other, every copy would be forwarded again and again, in an endless message storm.
+        ReceivedReport last = received.get(report.getIncarnation());
         boolean known = last != null && last.report().getNumber() >= report.getNumber();
         if (known || report.getIncarnation() == ownIncarnation()) {
             return;
         }
-        received.put(report.getIncarnation(), new Received(report, context.now()));
-        passOn(report, Optional.of(from));
-        judge();
-        objectIfReached(report);
+        received.put(report.getIncarnation(), new ReceivedReport(report, context.now()));
+        forward(report, Optional.of(from));
+        updateUnreachable();
+        contradictIfReachable(report);
     }
 
     void tick(long now) {
-        received.values().removeIf(last -> now - last.at() > MEMORY.toNanos());
+        received.values().removeIf(last -> now - last.receivedAt() > REPORT_RETENTION.toNanos());
         if (!unreachable.isEmpty()) {
-            judge();
+            updateUnreachable();
         }
-        boolean anyDown = own.containsValue(false) || own.keySet().stream().anyMatch(unreachable::containsKey);
-        if (anyDown && now - lastSent >= RENEWAL.toNanos()) {
+        boolean anyDown = ownFindings.containsValue(false)
+                || ownFindings.keySet().stream().anyMatch(unreachable::containsKey);
+        if (anyDown && now - lastSent >= RENEWAL_PERIOD.toNanos()) {
             publishOwn();
         }
     }
 
-    private void objectIfReached(MembershipLinkReport report) {
+    private void contradictIfReachable(MembershipLinkReport report) {
         for (MembershipLinkState state : report.getStatesList()) {
-            boolean reached = own.getOrDefault(DataCentre.of(state.getDataCentre()), false);
-            if (!state.getReachable() && reached) {
+            boolean reachable = ownFindings.getOrDefault(DataCentre.of(state.getDataCentre()), false);
+            if (!state.getReachable() && reachable) {
                 publishOwn();
                 return;
             }
@@ -117,15 +122,15 @@
                 .setReporter(context.id().value())
                 .setIncarnation(ownIncarnation())
                 .setNumber(number);
-        own.forEach((centre, reachable) -> report.addStates(
+        ownFindings.forEach((centre, reachable) -> report.addStates(
                 MembershipLinkState.newBuilder().setDataCentre(centre.value()).setReachable(reachable)));
         MembershipLinkReport built = report.build();
-        received.put(ownIncarnation(), new Received(built, context.now()));
-        passOn(built, Optional.empty());
-        judge();
+        received.put(ownIncarnation(), new ReceivedReport(built, context.now()));
+        forward(built, Optional.empty());
+        updateUnreachable();
     }
 
-    private void passOn(MembershipLinkReport report, Optional<NodeId> from) {
+    private void forward(MembershipLinkReport report, Optional<NodeId> from) {
         for (NodeId id : context.neighbours().all(context.now())) {
             boolean local = context.view().find(id).filter(context::isOwnCentre).isPresent();
             if (local && !from.equals(Optional.of(id))) {
@@ -134,11 +139,11 @@
         }
     }
 
-    private void judge() {
+    private void updateUnreachable() {
         Set<DataCentre> down = new LinkedHashSet<>();
         Set<DataCentre> up = new LinkedHashSet<>();
-        for (Received last : received.values()) {
-            if (!counts(last)) {
+        for (ReceivedReport last : received.values()) {
+            if (!isValid(last)) {
                 continue;
             }
             for (MembershipLinkState state : last.report().getStatesList()) {
@@ -154,9 +159,9 @@
         }
     }
 
-    /** A report counts while it is fresh and its reporter is held for alive. */
-    private boolean counts(Received last) {
-        boolean fresh = context.now() - last.at() <= EXPIRY.toNanos();
+    /** Whether the report has not expired and its reporter is live in the same incarnation. */
+    private boolean isValid(ReceivedReport last) {
+        boolean fresh = context.now() - last.receivedAt() <= EXPIRY.toNanos();
         return fresh
                 && context.view()
                         .find(NodeId.of(last.report().getReporter()))
@@ -172,7 +177,7 @@
 
     private void recordChange(Set<DataCentre> next) {
         for (DataCentre centre : next) {
-            boolean isNew = !unreachable.containsKey(centre) && own.containsKey(centre);
+            boolean isNew = !unreachable.containsKey(centre) && ownFindings.containsKey(centre);
             if (isNew) {
                 context.events()
                         .record(EventKind.PARTITION_SUSPECTED, centre.value(), "no link reaches this data centre");
--- a/src/main/java/io/beryldock/membership/MemberRecord.java
+++ b/src/main/java/io/beryldock/membership/MemberRecord.java
@@ -7,16 +7,16 @@
 import java.util.Optional;
 
 /**
- * What is known of one node and of the target in its VM. Immutable.
+ * The state of one node and of the target in its VM. Immutable.
  *
- * <p>Records of one start are totally ordered by {@link #isNewerThan}, and starts by their generation; merging keeps
- * the newest, so views that saw the same records are equal, in whatever order these came.
+ * <p>Records of one incarnation are totally ordered by {@link #isNewerThan}, and incarnations by their generation. A
+ * merge keeps the newest record, so views that received the same records are equal regardless of the order of arrival.
  *
- * @param generation rises with each start of a node of that id, as far as the start knew of earlier ones; 0 while a
- *     node only looks for others
- * @param revision rises with each change that the node itself makes
+ * @param generation increases with each start of a node with this id, as far as the new incarnation has learned of
+ *     earlier ones; 0 until the node has joined
+ * @param revision increases with each change made by the node itself
  * @param target the announced target, if any
- * @param superseded low half of the incarnation that this start replaced, 0 for none
+ * @param superseded low half of the incarnation that this incarnation replaced, 0 for none
  */
 record MemberRecord(
         NodeDescriptor node,
@@ -32,10 +32,11 @@
                     Incarnation::high, Long::compareUnsigned)
             .thenComparing(Incarnation::low, Long::compareUnsigned);
 
-    /** A target as its node passes it on. Immutable. */
+    /** A target as announced by its node. Immutable. */
     record AnnouncedTarget(ServiceName service, int slots, TargetState state) {
 
-        // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+        // Written out because the C1 compiler, which nodes run with, does not inline the generated equals of a record,
+        // an invokedynamic call.
         @Override
         public boolean equals(Object other) {
             return other instanceof AnnouncedTarget that
@@ -50,12 +51,12 @@
         }
     }
 
-    /** The record of a start that has not joined yet. */
-    static MemberRecord ofStart(NodeDescriptor node) {
+    /** Creates the record of an incarnation that has not joined yet. */
+    static MemberRecord initial(NodeDescriptor node) {
         return new MemberRecord(node, JOINING, 1, MemberStatus.ALIVE, Optional.empty(), 0);
     }
 
-    /** Whether the node only looks for others as yet: nobody takes its record into a view. */
+    /** Whether the node has not joined yet; such a record is not added to any view. */
     boolean isJoining() {
         return generation == JOINING;
     }
@@ -67,16 +68,16 @@
     /**
      * Whether this record replaces the other one.
      *
-     * <p>A later start wins; in one start, having left wins for ever, then the higher revision, then the status. Of
-     * two starts of one generation, which did not know of each other, neither replaces the other: to choose by any
-     * sign would now and then put the dead one in place of the running one. The later start, told of the earlier one,
-     * takes a generation above it.
+     * <p>A higher generation wins. Within one incarnation, the status {@code LEFT} wins permanently, then the higher
+     * revision, then the higher status. Of two incarnations with the same generation, neither of which knew of the
+     * other, neither replaces the other: any fixed criterion would sometimes replace the running incarnation by the
+     * dead one. Once the later incarnation receives the record of the earlier one, it takes a higher generation.
      */
     boolean isNewerThan(MemberRecord other) {
         if (generation != other.generation) {
             return generation > other.generation;
         }
-        if (!isSameStart(other)) {
+        if (!isSameIncarnation(other)) {
             return false;
         }
         if (hasLeft() != other.hasLeft()) {
@@ -92,7 +93,7 @@
         return INCARNATIONS.compare(node.incarnation(), other.node.incarnation()) > 0;
     }
 
-    boolean isSameStart(MemberRecord other) {
+    boolean isSameIncarnation(MemberRecord other) {
         return node.incarnation().equals(other.node.incarnation());
     }
 
@@ -100,12 +101,12 @@
         return status == MemberStatus.LEFT;
     }
 
-    /** Whether the node is kept in the directory: neither failed nor left. */
+    /** Whether the node belongs in the directory, because it has neither failed nor left. */
     boolean isLive() {
         return status != MemberStatus.FAILED && status != MemberStatus.LEFT;
     }
 
-    /** The low bits of the incarnation, as pings carry them. */
+    /** Returns the low 32 bits of the incarnation, as sent in pings. */
     int shortIncarnation() {
         return (int) node.incarnation().low();
     }
@@ -118,22 +119,22 @@
         return new MemberRecord(node, generation, revision, next, target, superseded);
     }
 
-    /** The record with another target, one revision up. */
+    /** Returns this record with another target and the next revision. */
     MemberRecord withTarget(Optional<AnnouncedTarget> next) {
         return new MemberRecord(node, generation, revision + 1, status, next, superseded);
     }
 
-    /** The record alive and above the revision. */
-    MemberRecord aliveAbove(long seen) {
-        return new MemberRecord(node, generation, seen + 1, MemberStatus.ALIVE, target, superseded);
+    /** Returns this record with the status {@code ALIVE} and a revision above the given one. */
+    MemberRecord aliveAbove(long lowerBound) {
+        return new MemberRecord(node, generation, lowerBound + 1, MemberStatus.ALIVE, target, superseded);
     }
 
-    /** The record of the first start of a node that anybody knows of. */
+    /** Returns the record of a joined node whose id has no known earlier incarnation. */
     MemberRecord joined() {
         return new MemberRecord(node, JOINING + 1, revision, status, target, 0);
     }
 
-    /** The record above that of an earlier start. */
+    /** Returns this record with a generation above that of an earlier incarnation, which it names as superseded. */
     MemberRecord superseding(MemberRecord earlier) {
         return new MemberRecord(
                 node,
--- a/src/main/java/io/beryldock/membership/MemberStatus.java
+++ b/src/main/java/io/beryldock/membership/MemberStatus.java
@@ -1,14 +1,19 @@
 package io.beryldock.membership;
 
-/** What nodes say of a node, in rising order: of two statuses with one revision the later counts. */
+/**
+ * The status of a node, in ascending order: of two records with the same revision, the one with the higher status wins.
+ */
 enum MemberStatus {
     ALIVE,
-    /** Did not answer its observers; it denies by a higher revision. */
+    /** Did not answer its observers; the node can refute this by a higher revision. */
     SUSPECTED,
-    /** Did not deny in time, but so many are silent that a partition is the likelier cause: kept, as unreachable. */
+    /**
+     * Did not refute the suspicion in time, but so many nodes do not answer that a partition is the more likely cause.
+     * The node is kept and marked as unreachable.
+     */
     MISSING,
-    /** Did not deny in time. It may still come back by a higher revision. */
+    /** Did not refute the suspicion in time. The node can still return with a higher revision. */
     FAILED,
-    /** Said itself that it stops; final for this start of the node. */
+    /** Announced its own stop; final for this incarnation. */
     LEFT
 }
--- a/src/main/java/io/beryldock/membership/Membership.java
+++ b/src/main/java/io/beryldock/membership/Membership.java
@@ -7,33 +7,39 @@
 import java.util.function.Consumer;
 
 /**
- * How a node and its target become known to all others, and what it knows of them.
+ * Announces this node and its target to all other nodes, and provides the directory of all nodes and targets.
  *
- * <p>Called on the control thread only, but for {@link #directory()}, which any thread may call.
+ * <p>All methods are called on the control thread, except {@link #directory()}, which is thread-safe.
  */
 public interface Membership {
 
-    /** Starts to look for others. */
+    /** Starts the search for other nodes. */
     void start();
 
-    /** Takes the announcement of the target in this VM, or its renewal. */
+    /** Announces the target in this VM, or renews its announcement. */
     void announce(ServiceName service, int slots, TargetState state);
 
-    /** Takes the target back: it is gone. */
+    /** Withdraws the announcement of a target that is gone. */
     void withdraw();
 
-    /** Tells all others that this node stops, and stops; completes whether or not anybody hears. */
+    /**
+     * Announces to all other nodes that this node is stopping, and stops membership. The future completes even if no
+     * other node receives the announcement.
+     */
     CompletableFuture<Void> leave();
 
-    /** Calls the listener with each new directory, on the control thread. */
+    /** Registers a listener that is called on the control thread with each new directory. */
     TimerService.Subscription onChange(Consumer<Directory> listener);
 
-    /** The picture of all nodes and targets as of now. */
+    /** Returns the current directory. */
     Directory directory();
 
-    /** Says that traffic got no answer from that node. */
+    /** Reports that the node did not answer a traffic request. */
     void hintUnreachable(NodeId node);
 
-    /** Whether so much was lost at once that this node takes itself for cut off. */
+    /**
+     * Whether this node assumes that it is disconnected itself, because many nodes or the store became unreachable at
+     * once.
+     */
     boolean isCutOff();
 }
--- a/src/main/java/io/beryldock/membership/MembershipAssembly.java
+++ b/src/main/java/io/beryldock/membership/MembershipAssembly.java
@@ -3,7 +3,7 @@
 import com.google.common.collect.ImmutableList;
 import io.beryldock.call.DataCentre;
 import io.beryldock.call.NodeId;
-import io.beryldock.membership.MembershipView.Held;
+import io.beryldock.membership.MembershipView.HeldRecord;
 import io.beryldock.store.PlatformStore;
 import io.beryldock.timeline.EventKind;
 import java.time.Duration;
@@ -11,31 +11,32 @@
 import java.util.Optional;
 
 /**
- * The parts of one node's membership, put together, and what concerns several of them at once. Control thread only.
+ * Creates the components of one node's membership, connects them, and implements the operations that involve several of
+ * them. Confined to the control thread.
  */
 final class MembershipAssembly {
 
-    /** A node that resumes after a pause accuses nobody for so long. */
-    private static final Duration QUIET_AFTER_PAUSE = Duration.ofSeconds(5);
+    /** A node that resumes after a pause suspects no other node for this long. */
+    private static final Duration NO_SUSPICIONS_AFTER_PAUSE = Duration.ofSeconds(5);
 
-    /** A new node looks that long for others before it goes on alone. */
-    private static final Duration JOIN_PATIENCE = Duration.ofMillis(1500);
+    /** A new node searches for joined nodes for this long before it joins without them. */
+    private static final Duration JOIN_TIMEOUT = Duration.ofMillis(1500);
 
-    private static final Duration HOUSEKEEPING = Duration.ofMinutes(1);
+    private static final Duration HOUSEKEEPING_PERIOD = Duration.ofMinutes(1);
 
-    /** Failed nodes are shown to operators for so long. */
-    private static final Duration SHOWN_FAILED = Duration.ofMinutes(10);
+    /** Failed nodes are included in snapshots for operators for this long. */
+    private static final Duration FAILED_DISPLAY_PERIOD = Duration.ofMinutes(10);
 
     private final MembershipContext context;
     private final RecordSpreader spreader;
-    private final RecordIntake intake;
+    private final RecordMerger merger;
     private final FailureDetector detector;
     private final LinkReports reports;
     private final CentreLinks links;
     private final AntiEntropy antiEntropy;
-    private final SeedRecords records;
+    private final SeedRecords seedRecords;
     private final PeerFinder finder;
-    private final SeedRecordKeeper keeper;
+    private final SeedRecordMaintainer seedRecordMaintainer;
     private final DirectoryPublisher publisher;
     private final MessageReceiver receiver;
     private final long startedAt;
@@ -44,18 +45,18 @@
     private MembershipAssembly(MembershipContext context, PlatformStore store) {
         this.context = context;
         spreader = RecordSpreader.create(context.view(), context.neighbours(), context.sender(), context.timers());
-        antiEntropy = new AntiEntropy(context, this::onComplete);
-        intake = RecordIntake.create(context, spreader, context.self()::isJoined, this::onChange);
+        antiEntropy = new AntiEntropy(context, this::onViewComplete);
+        merger = RecordMerger.create(context, spreader, context.self()::isJoined, this::onChange);
         IndirectProber indirect = new IndirectProber(context);
-        detector = new FailureDetector(context, indirect, intake);
-        reports = new LinkReports(context, this::onReports);
+        detector = new FailureDetector(context, indirect, merger);
+        reports = new LinkReports(context, this::onUnreachableChange);
         links = new CentreLinks(context, reports, held -> isReachable(held));
-        records = new SeedRecords(store, context.timers(), context.events());
-        finder = new PeerFinder(context, records);
-        keeper = new SeedRecordKeeper(context, records, finder);
+        seedRecords = new SeedRecords(store, context.timers(), context.events());
+        finder = new PeerFinder(context, seedRecords);
+        seedRecordMaintainer = new SeedRecordMaintainer(context, seedRecords, finder);
         publisher = new DirectoryPublisher(
                 context.view(), context.timers(), this::reachability, reports::unreachable, antiEntropy::isRefreshing);
-        receiver = new MessageReceiver(context, intake, indirect, antiEntropy, reports, finder);
+        receiver = new MessageReceiver(context, merger, indirect, antiEntropy, reports, finder);
         startedAt = context.now();
         nextHousekeeping = context.now();
     }
@@ -72,8 +73,8 @@
         return spreader;
     }
 
-    RecordIntake intake() {
-        return intake;
+    RecordMerger merger() {
+        return merger;
     }
 
     FailureDetector detector() {
@@ -84,8 +85,8 @@
         return finder;
     }
 
-    SeedRecordKeeper keeper() {
-        return keeper;
+    SeedRecordMaintainer seedRecordMaintainer() {
+        return seedRecordMaintainer;
     }
 
     DirectoryPublisher publisher() {
@@ -101,30 +102,31 @@
         antiEntropy.tick(now);
         finder.tick(now);
         if (!context.self().isJoined()) {
-            joinAlone(now);
+            joinWithoutPeers(now);
             return;
         }
         detector.tick(now);
         links.tick(now);
         reports.tick(now);
-        keeper.tick(now);
+        seedRecordMaintainer.tick(now);
         if (now - nextHousekeeping >= 0) {
-            nextHousekeeping = now + HOUSEKEEPING.toNanos();
-            keepHouse(now);
+            nextHousekeeping = now + HOUSEKEEPING_PERIOD.toNanos();
+            runHousekeeping(now);
         }
     }
 
-    /** Takes up work after a pause of that length: what is held may be old. */
+    /** Resumes membership after a pause of the given length, during which the view may have become stale. */
     void resume(Duration gap) {
         long now = context.now();
-        context.prober().forgetOpenProbes();
-        detector.keepQuietUntil(now + QUIET_AFTER_PAUSE.toNanos());
-        links.restartClocks(now);
+        context.prober().discardOpenProbes();
+        detector.suspendSuspicionsUntil(now + NO_SUSPICIONS_AFTER_PAUSE.toNanos());
+        links.restartTimeouts(now);
         antiEntropy.refresh();
         if (gap.compareTo(MembershipView.UNREACHABLE_RETENTION) > 0) {
-            // Others may have forgotten that nodes held here are dead; nothing of it may come back to them.
-            context.view().clearAllBut(context.id());
-            detector.forgetAll();
+            // Other nodes may have discarded the tombstones of nodes that this view still holds as live; sending these
+            // records to them would restore dead nodes.
+            context.view().removeAllExcept(context.id());
+            detector.discardAll();
         }
         publisher.onChange();
     }
@@ -133,13 +135,13 @@
         ImmutableList.Builder<MembershipSnapshot.Member> members = ImmutableList.builder();
         long now = context.now();
         for (DataCentre centre : context.view().dataCentres()) {
-            for (Held held : context.view().members(centre)) {
-                boolean recent = now - held.since() < SHOWN_FAILED.toNanos();
+            for (HeldRecord held : context.view().members(centre)) {
+                boolean recent = now - held.since() < FAILED_DISPLAY_PERIOD.toNanos();
                 boolean failed = held.record().status() == MemberStatus.FAILED;
                 if (held.record().isLive() || (failed && recent)) {
                     members.add(new MembershipSnapshot.Member(
                             held.record().node(),
-                            shownReachability(held),
+                            displayedReachability(held),
                             held.record().targetRecord()));
                 }
             }
@@ -157,16 +159,16 @@
                 context.sender().bytes(),
                 receiver.messages(),
                 receiver.bytes(),
-                records.reads(),
-                records.writes());
+                seedRecords.reads(),
+                seedRecords.writes());
     }
 
-    private Reachability shownReachability(Held held) {
+    private Reachability displayedReachability(HeldRecord held) {
         boolean cutOff = reports.unreachable().contains(held.record().node().dataCentre());
         return cutOff ? Reachability.UNREACHABLE : reachability(held);
     }
 
-    private Reachability reachability(Held held) {
+    private Reachability reachability(HeldRecord held) {
         return switch (held.record().status()) {
             case ALIVE -> Reachability.REACHABLE;
             case SUSPECTED -> Reachability.SUSPECTED;
@@ -174,7 +176,7 @@
         };
     }
 
-    private boolean isReachable(Held held) {
+    private boolean isReachable(HeldRecord held) {
         return reachability(held) != Reachability.UNREACHABLE;
     }
 
@@ -196,46 +198,50 @@
         }
     }
 
-    private void onReports() {
+    private void onUnreachableChange() {
         publisher.onChange();
     }
 
-    private void onComplete() {
+    private void onViewComplete() {
         if (!context.self().isJoined()) {
             join();
         }
         publisher.onChange();
     }
 
-    /** Joins without the view of another node when none that has joined can be found: all start at once, or alone. */
-    private void joinAlone(long now) {
-        boolean waited = now - startedAt >= JOIN_PATIENCE.toNanos();
-        if (waited && !antiEntropy.hasHeardMember()) {
+    /**
+     * Joins without the view of another node when no joined node answers: either all nodes start at the same time, or
+     * this node is the only one.
+     */
+    private void joinWithoutPeers(long now) {
+        boolean timedOut = now - startedAt >= JOIN_TIMEOUT.toNanos();
+        if (timedOut && !antiEntropy.hasReceivedDigest()) {
             join();
         }
     }
 
     private void join() {
         context.self().join();
-        intake.accept(context.self().current());
+        merger.accept(context.self().current());
     }
 
-    private void keepHouse(long now) {
+    private void runHousekeeping(long now) {
         for (DataCentre centre : reports.unreachableFor(MembershipView.UNREACHABLE_RETENTION, now)) {
-            retire(centre, now);
+            markFailed(centre, now);
         }
-        List<NodeId> forgotten = context.view().forgetTombstones(now);
-        forgotten.forEach(context.prober()::forget);
+        List<NodeId> removed = context.view().removeExpiredTombstones(now);
+        removed.forEach(context.prober()::remove);
     }
 
     /**
-     * Takes the nodes of a data centre that was unreachable for very long for failed.
+     * Marks the nodes of a data centre that has been unreachable for very long as failed.
      *
-     * <p>They are not kept for ever, since their replacements may have other ids. It is said to nobody: should the data
-     * centre come back its nodes hear of it by the comparison of digests and deny.
+     * <p>They cannot be kept indefinitely, because their replacements may have other ids. The change is not sent to
+     * other nodes: if the data centre becomes reachable again, its nodes receive the status when digests are compared
+     * and refute it.
      */
-    private void retire(DataCentre centre, long now) {
-        for (Held held : List.copyOf(context.view().members(centre))) {
+    private void markFailed(DataCentre centre, long now) {
+        for (HeldRecord held : List.copyOf(context.view().members(centre))) {
             if (held.record().isLive()) {
                 context.view().merge(held.record().withStatus(MemberStatus.FAILED), now);
             }
--- a/src/main/java/io/beryldock/membership/MembershipCodec.java
+++ b/src/main/java/io/beryldock/membership/MembershipCodec.java
@@ -17,9 +17,9 @@
 import java.util.Optional;
 
 /**
- * Turns records into their form on the wire and back.
+ * Converts records to and from their wire format.
  *
- * <p>Names and targets that many records share are kept once. Thread safe.
+ * <p>Data centre names and targets that occur in many records are interned. Thread-safe.
  */
 final class MembershipCodec {
 
@@ -52,7 +52,7 @@
         return wire.build();
     }
 
-    /** Reads a record; throws {@link IllegalArgumentException} when a field holds no valid value. */
+    /** Decodes a record; throws {@link IllegalArgumentException} if a field has an invalid value. */
     MemberRecord decode(MembershipRecord wire) {
         NodeDescriptor node = new NodeDescriptor(
                 NodeId.of(wire.getId()),
@@ -72,12 +72,12 @@
         return ByteString.copyFrom(address.getAddress().getAddress());
     }
 
-    /** Reads an address; throws {@link IllegalArgumentException} when it is none. */
+    /** Decodes an address; throws {@link IllegalArgumentException} if the length of {@code bytes} is invalid. */
     static InetSocketAddress address(ByteString bytes, int port) {
         try {
             return new InetSocketAddress(InetAddress.getByAddress(bytes.toByteArray()), port);
         } catch (UnknownHostException e) {
-            throw new IllegalArgumentException("an IP number has 4 or 16 bytes", e);
+            throw new IllegalArgumentException("IP address must have 4 or 16 bytes", e);
         }
     }
 
@@ -106,7 +106,7 @@
             case MEMBER_MISSING -> MemberStatus.MISSING;
             case MEMBER_FAILED -> MemberStatus.FAILED;
             case MEMBER_LEFT -> MemberStatus.LEFT;
-            case UNRECOGNIZED -> throw new IllegalArgumentException("unknown status of a member");
+            case UNRECOGNIZED -> throw new IllegalArgumentException("unknown member status");
         };
     }
 
@@ -123,7 +123,7 @@
             case TARGET_STARTING -> TargetState.STARTING;
             case TARGET_READY -> TargetState.READY;
             case TARGET_LEAVING -> TargetState.LEAVING;
-            case UNRECOGNIZED -> throw new IllegalArgumentException("unknown state of a target");
+            case UNRECOGNIZED -> throw new IllegalArgumentException("unknown target state");
         };
     }
 }
--- a/src/main/java/io/beryldock/membership/MembershipContext.java
+++ b/src/main/java/io/beryldock/membership/MembershipContext.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** What the parts of one node's membership share. Control thread only. */
+/** The state and services shared by the components of one node's membership. Confined to the control thread. */
 record MembershipContext(
         MembershipSettings settings,
         SelfRecord self,
@@ -17,7 +17,7 @@
         Neighbourhood neighbours,
         MessageSender sender,
         Prober prober,
-        Guests guests,
+        JoiningNodes joiningNodes,
         TimerService timers,
         RandomGenerator random,
         EventSink events) {
@@ -38,13 +38,17 @@
         return timers.ticker().nanos();
     }
 
-    /** Where the node is reached: one that is about to join at the address it gave, else as the view says. */
+    /**
+     * Returns the address of the node: for a node that has not joined yet, the address it sent, otherwise the address
+     * in the view.
+     */
     Optional<InetSocketAddress> addressOf(NodeId id) {
-        return guests.addressOf(id)
+        return joiningNodes
+                .addressOf(id)
                 .or(() -> view.find(id).map(member -> member.node().peerAddress()));
     }
 
-    /** Sends to a node that is known; without effect for any other. */
+    /** Sends the message to the node, or does nothing if its address is unknown. */
     void send(NodeId to, MembershipMessage.Builder message) {
         addressOf(to).ifPresent(address -> sender.send(address, message));
     }
--- a/src/main/java/io/beryldock/membership/MembershipHashing.java
+++ b/src/main/java/io/beryldock/membership/MembershipHashing.java
@@ -5,9 +5,10 @@
 import io.beryldock.call.NodeId;
 
 /**
- * The hashes that all nodes must agree on: of records for digests, of ids for rings and rendezvous choice.
+ * The hash functions that must be identical on all nodes: of records for digests, and of ids for rings and rendezvous
+ * hashing.
  *
- * <p>Stateless, thread safe. To change one is a change of the protocol.
+ * <p>Stateless and thread-safe. A change to any of them is a change of the protocol.
  */
 final class MembershipHashing {
 
@@ -15,7 +16,7 @@
 
     private MembershipHashing() {}
 
-    /** Hash of a name, from which its place on rings and its rendezvous weights come. */
+    /** Returns the hash of a name, which determines its position on rings and its rendezvous weights. */
     static long ofName(String name) {
         return FUNCTION.hashUnencodedChars(name).asLong();
     }
@@ -24,7 +25,10 @@
         return ofName(id.value());
     }
 
-    /** Weight of a member for a topic: the members with the highest weights are chosen for it. */
+    /**
+     * Returns the rendezvous weight of a member for a topic; the members with the highest weights are chosen for the
+     * topic.
+     */
     static long weight(long memberHash, long topicHash) {
         return FUNCTION.newHasher(2 * Long.BYTES)
                 .putLong(memberHash)
@@ -33,7 +37,7 @@
                 .asLong();
     }
 
-    /** Fingerprint of one version of a record. */
+    /** Returns the fingerprint of one version of a record. */
     static long ofRecord(MemberRecord member) {
         return FUNCTION.newHasher()
                 .putUnencodedChars(member.node().id().value())
--- a/src/main/java/io/beryldock/membership/MembershipService.java
+++ b/src/main/java/io/beryldock/membership/MembershipService.java
@@ -15,38 +15,39 @@
 import java.util.random.RandomGenerator;
 
 /**
- * This node's part in membership: announces its target, learns of all others, and publishes the {@link Directory}.
+ * Gossip-based membership of this node: announces its target, receives the records of all other nodes, and publishes
+ * the {@link Directory}.
  *
- * <p>Every method is called on the control thread only, but for {@link #directory()}, which any thread may call. The
- * platform store is read to find first peers and by one node a data centre now and then, never for a heartbeat.
- * Invariants are those of {@link MembershipView} and {@link SelfRecord}.
+ * <p>All methods are called on the control thread, except {@link #directory()}, which is thread-safe. The platform
+ * store is read to find the first peers, and at long intervals by one node per data centre, but never for heartbeats.
+ * The invariants are those of {@link MembershipView} and {@link SelfRecord}.
  */
 public final class MembershipService implements Membership {
 
-    /** A gap between two ticks that is longer than that was a pause of this process or VM. */
-    static final Duration PAUSE = Duration.ofSeconds(2);
+    /** A gap between two ticks that is at least this long counts as a pause of this process or VM. */
+    static final Duration PAUSE_THRESHOLD = Duration.ofSeconds(2);
 
-    /** Time that a change needs to reach every node, with room to spare. */
-    static final Duration SPREADING = Duration.ofMillis(1500);
+    /** Time within which a change reaches every node, including a safety margin. */
+    static final Duration PROPAGATION_TIME = Duration.ofMillis(1500);
 
-    private static final Duration TICK = Duration.ofMillis(250);
-    private static final Duration REPEAT = Duration.ofMillis(300);
+    private static final Duration TICK_PERIOD = Duration.ofMillis(250);
+    private static final Duration DEPARTURE_REPEAT_DELAY = Duration.ofMillis(300);
 
-    private final MembershipAssembly parts;
+    private final MembershipAssembly assembly;
     private final MembershipContext context;
     private long lastTick;
-    private long renewed;
+    private long lastRenewal;
     private long leavingSince;
     private boolean stopped;
     private TimerService.Subscription ticks = () -> {};
 
-    private MembershipService(MembershipAssembly parts) {
-        this.parts = parts;
-        this.context = parts.context();
+    private MembershipService(MembershipAssembly assembly) {
+        this.assembly = assembly;
+        this.context = assembly.context();
         this.lastTick = context.now();
     }
 
-    /** Makes the service; it sends nothing before {@link #start()}. */
+    /** Creates the service, which sends no messages before {@link #start()}. */
     public static MembershipService create(
             MembershipSettings settings,
             NodeDescriptor self,
@@ -78,29 +79,29 @@
                 Neighbourhood.create(settings.probePeriod()),
                 sender,
                 prober,
-                new Guests(timers.ticker()),
+                new JoiningNodes(timers.ticker()),
                 timers,
                 random,
                 events);
         return new MembershipService(MembershipAssembly.create(context, store));
     }
 
-    /** Starts to look for peers. */
+    /** Starts the search for peers. */
     @Override
     public void start() {
         lastTick = context.now();
-        parts.intake().accept(context.self().current());
-        parts.finder().start();
-        parts.keeper().start();
-        parts.publisher().publish();
+        assembly.merger().accept(context.self().current());
+        assembly.finder().start();
+        assembly.seedRecordMaintainer().start();
+        assembly.publisher().publish();
         tick();
-        ticks = context.timers().every(TICK, this::tick);
+        ticks = context.timers().every(TICK_PERIOD, this::tick);
     }
 
-    /** Takes the announcement of the target in this VM, or its renewal. */
+    /** Announces the target in this VM, or renews its announcement. */
     @Override
     public void announce(ServiceName service, int slots, TargetState state) {
-        renewed = context.now();
+        lastRenewal = context.now();
         Optional<AnnouncedTarget> next = Optional.of(new AnnouncedTarget(service, slots, state));
         if (stopped || !context.self().announce(next)) {
             return;
@@ -112,7 +113,7 @@
         publishSelf();
     }
 
-    /** Takes the target back: it is gone. */
+    /** Withdraws the announcement of a target that is gone. */
     @Override
     public void withdraw() {
         if (!stopped && context.self().announce(Optional.empty())) {
@@ -122,46 +123,47 @@
     }
 
     /**
-     * Tells all others that this node stops, and stops.
+     * Announces to all other nodes that this node is stopping, and stops membership.
      *
-     * <p>First the target is announced as leaving and the news given {@link #SPREADING}, so that nobody sends it work
-     * any more; then the node is announced as gone. Completes within 3 s, whether or not anybody hears.
+     * <p>The target is first announced as leaving, and {@link #PROPAGATION_TIME} is allowed for that announcement, so
+     * that no node sends it further requests; then the node is announced as having left. The future completes within 3
+     * s, even if no other node receives the announcements.
      */
     @Override
     public CompletableFuture<Void> leave() {
         CompletableFuture<Void> done = new CompletableFuture<>();
         Optional<AnnouncedTarget> target = context.self().current().target();
         target.ifPresent(known -> announce(known.service(), known.slots(), TargetState.LEAVING));
-        Duration told = target.isPresent() ? Duration.ofNanos(context.now() - leavingSince) : SPREADING;
-        Duration wait = SPREADING.minus(told);
-        context.timers().after(wait.isNegative() ? Duration.ZERO : wait, () -> depart(done));
+        Duration elapsed = target.isPresent() ? Duration.ofNanos(context.now() - leavingSince) : PROPAGATION_TIME;
+        Duration wait = PROPAGATION_TIME.minus(elapsed);
+        context.timers().after(wait.isNegative() ? Duration.ZERO : wait, () -> announceDeparture(done));
         return done;
     }
 
-    /** Takes a message of another node's membership. */
+    /** Handles a membership message of another node. */
     public void onMessage(NodeId sender, ByteString body) {
         if (!isActive()) {
             return;
         }
-        noticePause();
-        parts.receiver().onMessage(sender, body);
+        detectPause();
+        assembly.receiver().onMessage(sender, body);
     }
 
-    /** Calls the listener with each new directory, on the control thread. */
+    /** Registers a listener that is called on the control thread with each new directory. */
     @Override
     public TimerService.Subscription onChange(Consumer<Directory> listener) {
-        return parts.publisher().subscribe(listener);
+        return assembly.publisher().subscribe(listener);
     }
 
-    /** The picture of all nodes and targets as of now. */
+    /** Returns the current directory. */
     @Override
     public Directory directory() {
-        return parts.publisher().directory();
+        return assembly.publisher().directory();
     }
 
-    /** What this node knows of all nodes, the failed ones of the last minutes too. */
+    /** Returns the state of all nodes as known to this node, including nodes that failed in the last minutes. */
     public MembershipSnapshot snapshot() {
-        return parts.snapshot();
+        return assembly.snapshot();
     }
 
     @Override
@@ -169,23 +171,23 @@
         return snapshot().massLoss();
     }
 
-    /** What membership has cost this node so far. */
+    /** Returns the cost of membership to this node so far. */
     public MembershipStatistics statistics() {
-        return parts.statistics();
+        return assembly.statistics();
     }
 
-    /** Says that traffic got no answer from that node, so that it is probed at once. */
+    /** Reports that the node did not answer a traffic request, so that it is probed immediately. */
     @Override
     public void hintUnreachable(NodeId node) {
         if (isActive()) {
-            parts.detector().hintUnreachable(node);
+            assembly.detector().hintUnreachable(node);
         }
     }
 
-    /** Says that traffic got an answer from that node, so that it may deny a suspicion at once. */
+    /** Reports that the node answered a traffic request, so that it can refute a suspicion immediately. */
     public void hintAlive(NodeId node) {
         if (isActive()) {
-            parts.detector().hintAlive(node);
+            assembly.detector().hintAlive(node);
         }
     }
 
@@ -197,57 +199,59 @@
         if (!isActive()) {
             return;
         }
-        noticePause();
+        detectPause();
         long now = context.now();
         lastTick = now;
-        boolean expired = now - renewed > context.settings().targetExpiry().toNanos();
+        boolean expired = now - lastRenewal > context.settings().targetExpiry().toNanos();
         if (expired && context.self().current().target().isPresent()) {
             withdraw();
         }
-        parts.tick(now);
+        assembly.tick(now);
     }
 
     /**
-     * Notices that this process was paused.
+     * Detects a pause of this process and restarts all timing that depends on messages from other nodes.
      *
-     * <p>Without it a VM that wakes after a minute takes the silence of that minute for the silence of others, accuses
-     * its neighbours, withdraws its target whose renewals it could not hear, and lets traffic act on an old view. The
-     * gap shows at the first tick or message after the pause, before either is acted on.
+     * <p>Without this detection, a VM that resumes after a minute would attribute the missing answers to its neighbours
+     * and suspect them, withdraw its target because the renewals could not arrive, and leave traffic with a stale view.
+     * The gap is detected at the first tick or message after the pause, before either is processed.
      */
-    private void noticePause() {
+    private void detectPause() {
         long now = context.now();
         Duration gap = Duration.ofNanos(now - lastTick);
-        if (gap.compareTo(PAUSE) < 0) {
+        if (gap.compareTo(PAUSE_THRESHOLD) < 0) {
             return;
         }
         lastTick = now;
-        renewed = now;
+        lastRenewal = now;
         context.events()
                 .record(
                         EventKind.NODE_RESUMED_AFTER_PAUSE,
                         context.id().value(),
                         "paused for " + gap.toMillis() + " ms: the view is fetched anew");
-        parts.resume(gap);
+        assembly.resume(gap);
     }
 
     private void publishSelf() {
-        parts.intake().accept(context.self().current());
-        parts.publisher().publish();
+        assembly.merger().accept(context.self().current());
+        assembly.publisher().publish();
     }
 
-    private void depart(CompletableFuture<Void> done) {
+    private void announceDeparture(CompletableFuture<Void> done) {
         context.self().leave();
         publishSelf();
-        parts.spreader().flush();
-        context.timers().after(REPEAT, () -> repeatDeparture(done));
+        assembly.spreader().flush();
+        context.timers().after(DEPARTURE_REPEAT_DELAY, () -> repeatDeparture(done));
     }
 
-    /** Says it once more: a message may be lost, and this node will not be there to mend it. */
+    /**
+     * Sends the departure a second time: a message may be lost, and this node will not be running to repair the loss.
+     */
     private void repeatDeparture(CompletableFuture<Void> done) {
-        parts.spreader().spread(context.id(), Optional.empty());
-        parts.spreader().flush();
+        assembly.spreader().spread(context.id(), Optional.empty());
+        assembly.spreader().flush();
         stopped = true;
         ticks.cancel();
-        context.timers().after(REPEAT, () -> done.complete(null));
+        context.timers().after(DEPARTURE_REPEAT_DELAY, () -> done.complete(null));
     }
 }
--- a/src/main/java/io/beryldock/membership/MembershipSettings.java
+++ b/src/main/java/io/beryldock/membership/MembershipSettings.java
@@ -8,12 +8,12 @@
 /**
  * The settings of membership. Immutable.
  *
- * @param seeds peer addresses of nodes that a new node asks first; may be empty
+ * @param seeds peer addresses that a new node contacts first; may be empty
  * @param observers number of nodes that probe each node of a data centre
  * @param probePeriod time between two probes of one neighbour
- * @param probeTimeout a probe unanswered for that long has failed
- * @param suspicion time that a suspected node has to deny
- * @param targetExpiry a target that has not renewed its announcement for that long is withdrawn
+ * @param probeTimeout time after which an unanswered probe has failed
+ * @param suspicion time within which a suspected node can refute the suspicion
+ * @param targetExpiry time without a renewal of its announcement after which a target is withdrawn
  */
 public record MembershipSettings(
         ImmutableList<InetSocketAddress> seeds,
@@ -29,7 +29,7 @@
     private static final Duration SUSPICION = Duration.ofSeconds(3);
     private static final Duration TARGET_EXPIRY = Duration.ofSeconds(10);
 
-    /** The recommended settings with these seeds. */
+    /** Creates the recommended settings with the given seeds. */
     public static MembershipSettings of(List<InetSocketAddress> seeds) {
         return new MembershipSettings(
                 ImmutableList.copyOf(seeds), OBSERVERS, PROBE_PERIOD, PROBE_TIMEOUT, SUSPICION, TARGET_EXPIRY);
--- a/src/main/java/io/beryldock/membership/MembershipSnapshot.java
+++ b/src/main/java/io/beryldock/membership/MembershipSnapshot.java
@@ -4,14 +4,15 @@
 import java.util.Optional;
 
 /**
- * What a node knows of all nodes at one moment, for operators. Immutable.
+ * The state of all nodes as known to one node at one moment, for operators. Immutable.
  *
- * @param massLoss half of the own data centre or more is missing, so the missing are kept as unreachable
- * @param superseded a later start of the node's id has taken its place
+ * @param massLoss whether half or more of the nodes of the own data centre do not answer, so that they are kept and
+ *     marked as unreachable
+ * @param superseded whether a later incarnation with the same id has replaced this node
  */
 public record MembershipSnapshot(
         NodeDescriptor self, ImmutableList<Member> members, boolean massLoss, boolean superseded) {
 
-    /** One node as this node sees it. Immutable. */
+    /** The state of one node as known to this node. Immutable. */
     public record Member(NodeDescriptor node, Reachability reachability, Optional<TargetRecord> target) {}
 }
--- a/src/main/java/io/beryldock/membership/MembershipStatistics.java
+++ b/src/main/java/io/beryldock/membership/MembershipStatistics.java
@@ -1,12 +1,12 @@
 package io.beryldock.membership;
 
 /**
- * What membership has cost this node since its start. Immutable.
+ * The cost of membership to this node since its start. Immutable.
  *
- * @param messagesSent messages handed to the transport
- * @param bytesSent bytes of these, without the frame of the connection
- * @param messagesReceived messages taken from the transport
- * @param bytesReceived bytes of these
+ * @param messagesSent messages passed to the transport
+ * @param bytesSent bytes of the messages sent, without the frame of the connection
+ * @param messagesReceived messages received from the transport
+ * @param bytesReceived bytes of the messages received
  * @param storeReads reads of the platform store
  * @param storeWrites writes to the platform store
  */
--- a/src/main/java/io/beryldock/membership/MembershipTransport.java
+++ b/src/main/java/io/beryldock/membership/MembershipTransport.java
@@ -4,9 +4,10 @@
 import java.net.InetSocketAddress;
 
 /**
- * Sends the messages of membership to other nodes.
+ * Sends membership messages to other nodes.
  *
- * <p>Best effort: a message may be lost, doubled or reordered. Never blocks, never fails. Called on the control thread.
+ * <p>Delivery is best effort: a message may be lost, duplicated or reordered. Implementations neither block nor throw.
+ * Called on the control thread.
  */
 @FunctionalInterface
 public interface MembershipTransport {
--- a/src/main/java/io/beryldock/membership/MembershipView.java
+++ b/src/main/java/io/beryldock/membership/MembershipView.java
@@ -14,33 +14,42 @@
 import java.util.function.BiPredicate;
 
 /**
- * All records that a node holds, by data centre, with their digests.
+ * Holds the records of all nodes by data centre, with their digests.
  *
- * <p>Invariant: the record of an id only rises in the order of {@link MemberRecord#isNewerThan}; a digest is that of
- * the live records held. A record of a failed or left node stays for {@link #TOMBSTONE_RETENTION}, so that an old live
- * record which arrives late does not bring it back. Control thread only.
+ * <p>Invariants: a record is replaced only by one that is newer by {@link MemberRecord#isNewerThan}, and a digest
+ * covers exactly the live records held. The record of a failed or departed node is kept as a tombstone for {@link
+ * #TOMBSTONE_RETENTION}, so that an old live record that arrives late does not restore the node. Confined to the
+ * control thread.
  */
 final class MembershipView {
 
-    /** Exceeds {@link #UNREACHABLE_RETENTION}, so that no view still holds alive what others have forgotten. */
+    /**
+     * Exceeds {@link #UNREACHABLE_RETENTION}, so that no view still holds a node as live whose tombstone other nodes
+     * have discarded.
+     */
     static final Duration TOMBSTONE_RETENTION = Duration.ofHours(24);
 
-    /** A member that nobody here has reached for so long is taken for failed, even if a partition may be the cause. */
+    /**
+     * A member that no node of this data centre has reached for this long is marked as failed, even if a partition may
+     * be the cause.
+     */
     static final Duration UNREACHABLE_RETENTION = Duration.ofHours(12);
 
-    private static final Duration CONFLICT_PATIENCE = Duration.ofMinutes(10);
+    private static final Duration CONFLICT_TIMEOUT = Duration.ofMinutes(10);
 
-    /** What a merge did. */
-    enum Merge {
+    /** The result of a merge. */
+    enum MergeResult {
         NEWER,
         SAME,
         OLDER,
-        /** Another start of the node is held, and which is the later one cannot be told yet. */
+        /** The view holds another incarnation of the node, and it is not yet known which of the two is later. */
         CONFLICT
     }
 
-    /** A record with the monotonic time when it was taken, and hashes of its id and version. Immutable. */
-    record Held(MemberRecord record, long since, long idHash, long fingerprint) {
+    /**
+     * A record with the monotonic time at which it entered the view, and the hashes of its id and version. Immutable.
+     */
+    record HeldRecord(MemberRecord record, long since, long idHash, long fingerprint) {
 
         NodeId id() {
             return record.id();
@@ -48,7 +57,7 @@
     }
 
     private final BiPredicate<MemberRecord, MemberRecord> newer;
-    private final Map<NodeId, Held> all = new HashMap<>();
+    private final Map<NodeId, HeldRecord> all = new HashMap<>();
     private final Map<DataCentre, CentreView> centres = new TreeMap<>();
     private long root;
 
@@ -60,52 +69,54 @@
         return new MembershipView(rules.newer());
     }
 
-    Merge merge(MemberRecord found, long now) {
-        Held held = all.get(found.id());
+    MergeResult merge(MemberRecord found, long now) {
+        HeldRecord held = all.get(found.id());
         if (held == null) {
             put(found, now, MembershipHashing.ofId(found.id()));
-            return Merge.NEWER;
+            return MergeResult.NEWER;
         }
         if (newer.test(found, held.record())) {
             remove(held);
             put(found, now, held.idHash());
-            return Merge.NEWER;
+            return MergeResult.NEWER;
         }
         if (newer.test(held.record(), found)) {
-            return Merge.OLDER;
+            return MergeResult.OLDER;
         }
-        if (found.isSameStart(held.record())) {
-            return Merge.SAME;
+        if (found.isSameIncarnation(held.record())) {
+            return MergeResult.SAME;
         }
-        return settleConflict(held, found, now);
+        return resolveConflict(held, found, now);
     }
 
     /**
-     * Keeps the start that is held: if the other one runs it hears of the conflict and raises its generation.
+     * Resolves a conflict of two incarnations in favour of the one held: if the other one is running, it receives the
+     * record held and raises its generation.
      *
-     * <p>Two starts that never met and are both dead would keep views apart for ever, one of them live to some. So what
-     * is long dead here gives way, and observers find out whether the other one runs.
+     * <p>Two dead incarnations that never knew of each other would otherwise keep views different forever, one of them
+     * being live in some views. An incarnation that has been dead in this view for a long time is therefore replaced,
+     * and the observers find out whether the other one is running.
      */
-    private Merge settleConflict(Held held, MemberRecord found, long now) {
-        boolean longDead = !held.record().isLive() && now - held.since() > CONFLICT_PATIENCE.toNanos();
+    private MergeResult resolveConflict(HeldRecord held, MemberRecord found, long now) {
+        boolean longDead = !held.record().isLive() && now - held.since() > CONFLICT_TIMEOUT.toNanos();
         if (!longDead || !found.isLive()) {
-            return Merge.CONFLICT;
+            return MergeResult.CONFLICT;
         }
         remove(held);
         put(found, now, held.idHash());
-        return Merge.NEWER;
+        return MergeResult.NEWER;
     }
 
     Optional<MemberRecord> find(NodeId id) {
-        return Optional.ofNullable(all.get(id)).map(Held::record);
+        return Optional.ofNullable(all.get(id)).map(HeldRecord::record);
     }
 
-    Optional<Held> held(NodeId id) {
+    Optional<HeldRecord> held(NodeId id) {
         return Optional.ofNullable(all.get(id));
     }
 
-    /** Every record of the data centre, dead ones too. */
-    Collection<Held> members(DataCentre centre) {
+    /** Returns all records of the data centre, including tombstones. */
+    Collection<HeldRecord> members(DataCentre centre) {
         CentreView view = centres.get(centre);
         return view == null ? List.of() : view.members();
     }
@@ -118,60 +129,60 @@
         return all.size();
     }
 
-    /** Digest of all live records. */
+    /** Returns the digest of all live records. */
     long root() {
         return root;
     }
 
-    /** Digest of the live records of a data centre, 0 when there are none. */
+    /** Returns the digest of the live records of a data centre, 0 if there are none. */
     long root(DataCentre centre) {
         CentreView view = centres.get(centre);
         return view == null ? 0 : view.root();
     }
 
-    /** Digests of the buckets of a data centre. */
+    /** Returns the digests of the buckets of a data centre. */
     List<Long> buckets(DataCentre centre) {
         CentreView view = centres.get(centre);
         return view == null ? CentreView.emptyBuckets() : view.buckets();
     }
 
-    /** Drops the records of dead members that are older than their retention; returns the ids dropped. */
-    List<NodeId> forgetTombstones(long now) {
-        List<Held> old = new ArrayList<>();
-        for (Held held : all.values()) {
+    /** Removes the tombstones whose retention has expired, and returns their ids. */
+    List<NodeId> removeExpiredTombstones(long now) {
+        List<HeldRecord> old = new ArrayList<>();
+        for (HeldRecord held : all.values()) {
             boolean expired = now - held.since() > TOMBSTONE_RETENTION.toNanos();
             if (expired && !held.record().isLive()) {
                 old.add(held);
             }
         }
         old.forEach(this::remove);
-        return old.stream().map(Held::id).toList();
+        return old.stream().map(HeldRecord::id).toList();
     }
 
-    /** Starts the time of a record anew, as after a pause in which nothing could be heard. */
-    void restartClock(NodeId id, long now) {
+    /** Sets the time of a record to {@code now}, as after a pause in which no message could be received. */
+    void resetAge(NodeId id, long now) {
         held(id).ifPresent(held -> {
             remove(held);
             put(held.record(), now, held.idHash());
         });
     }
 
-    /** Drops every record but that of the id. */
-    void clearAllBut(NodeId id) {
-        List<Held> others = new ArrayList<>(all.values());
+    /** Removes all records except that of the given id. */
+    void removeAllExcept(NodeId id) {
+        List<HeldRecord> others = new ArrayList<>(all.values());
         others.removeIf(held -> held.id().equals(id));
         others.forEach(this::remove);
     }
 
     private void put(MemberRecord member, long now, long idHash) {
-        Held held = new Held(member, now, idHash, MembershipHashing.ofRecord(member));
+        HeldRecord held = new HeldRecord(member, now, idHash, MembershipHashing.ofRecord(member));
         all.put(member.id(), held);
         root ^= held.record().isLive() ? held.fingerprint() : 0;
         centres.computeIfAbsent(member.node().dataCentre(), name -> new CentreView())
                 .put(held);
     }
 
-    private void remove(Held held) {
+    private void remove(HeldRecord held) {
         all.remove(held.id());
         root ^= held.record().isLive() ? held.fingerprint() : 0;
         DataCentre centre = held.record().node().dataCentre();
--- a/src/main/java/io/beryldock/membership/MessageReceiver.java
+++ b/src/main/java/io/beryldock/membership/MessageReceiver.java
@@ -9,16 +9,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Takes messages apart and hands them to the part that they concern.
+ * Decodes membership messages and dispatches them to the components concerned.
  *
- * <p>Invariant: the records in a message are taken in before the rest of it is acted on. Control thread only.
+ * <p>Invariant: the records of a message are merged before the rest of the message is processed. Confined to the
+ * control thread.
  */
 final class MessageReceiver {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
     private final MembershipContext context;
-    private final RecordIntake intake;
+    private final RecordMerger merger;
     private final IndirectProber indirect;
     private final AntiEntropy antiEntropy;
     private final LinkReports reports;
@@ -29,13 +30,13 @@
 
     MessageReceiver(
             MembershipContext context,
-            RecordIntake intake,
+            RecordMerger merger,
             IndirectProber indirect,
             AntiEntropy antiEntropy,
             LinkReports reports,
             PeerFinder finder) {
         this.context = context;
-        this.intake = intake;
+        this.merger = merger;
         this.indirect = indirect;
         this.antiEntropy = antiEntropy;
         this.reports = reports;
@@ -48,12 +49,12 @@
         try {
             MembershipMessage message = MembershipMessage.parseFrom(body);
             for (MembershipRecord wire : message.getRecordsList()) {
-                intake.accept(codec.decode(wire), sender);
+                merger.accept(codec.decode(wire), sender);
             }
             dispatch(sender, message);
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
             log.atWarning().atMostEvery(1, TimeUnit.SECONDS).withCause(e).log(
-                    "dropped a membership message of %s that cannot be read; is it of the same version?", sender);
+                    "dropped malformed membership message from %s; check that both nodes run the same version", sender);
         }
     }
 
@@ -81,21 +82,24 @@
     }
 
     private void onPing(NodeId sender, MembershipMessage message) {
-        context.neighbours().heardPing(sender, context.now());
+        context.neighbours().onPing(sender, context.now());
         context.prober().onPing(sender, message);
-        compare(sender, message);
+        compareDigests(sender, message);
     }
 
     private void onAck(NodeId sender, MembershipMessage message) {
         context.prober().onAck(sender, message);
-        finder.onHeard();
-        compare(sender, message);
+        finder.onAck();
+        compareDigests(sender, message);
     }
 
-    /** The view of a node that has not joined yet is no measure for this one's. */
-    private void compare(NodeId sender, MembershipMessage message) {
+    /**
+     * Compares the sender's digest with that of this node; the view of a node that has not joined yet is incomplete and
+     * is not compared.
+     */
+    private void compareDigests(NodeId sender, MembershipMessage message) {
         if (!message.getJoining()) {
-            context.guests().farewell(sender);
+            context.joiningNodes().remove(sender);
             antiEntropy.onRoot(sender, message.getRoot());
         }
     }
--- a/src/main/java/io/beryldock/membership/MessageSender.java
+++ b/src/main/java/io/beryldock/membership/MessageSender.java
@@ -5,10 +5,10 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Sends messages of this node and counts them. Control thread only. */
+/** Sends the membership messages of this node and counts them. Confined to the control thread. */
 final class MessageSender {
 
-    /** Keeps a message within about 10 kB, small beside the calls on the same connection. */
+    /** Limits a message to about 10 kB, which is small compared with the calls on the same connection. */
     static final int MAX_RECORDS = 100;
 
     private final MembershipTransport transport;
@@ -35,7 +35,7 @@
         transport.send(to, body);
     }
 
-    /** Sends the message with the digest of the view, by which the receiver notices that the views differ. */
+    /** Sends the message with the digest of the view, which lets the receiver detect a difference between the views. */
     void sendWithRoot(InetSocketAddress to, MembershipMessage.Builder message) {
         send(to, message.setRoot(view.root()));
     }
--- a/src/main/java/io/beryldock/membership/Neighbourhood.java
+++ b/src/main/java/io/beryldock/membership/Neighbourhood.java
@@ -8,26 +8,27 @@
 import java.util.Set;
 
 /**
- * The few nodes with which this node exchanges: those it probes, and those that probe it.
+ * The nodes with which this node exchanges records: its ring successors, its links, and the nodes that have recently
+ * pinged it.
  *
- * <p>Over all nodes of a data centre these pairs form a random graph of low diameter, joined to the graphs of the other
- * data centres by links. Invariant: this node itself is never in it. Control thread only.
+ * <p>Within a data centre these pairs form a random graph of low diameter, which links connect to the graphs of the
+ * other data centres. Invariant: this node itself is never included. Confined to the control thread.
  */
 final class Neighbourhood {
 
-    private static final int PERIODS = 3;
+    private static final int RETENTION_PERIODS = 3;
 
-    private final Duration inboundRetention;
-    private final Map<NodeId, Long> inbound = new HashMap<>();
+    private final Duration pingRetention;
+    private final Map<NodeId, Long> recentPingers = new HashMap<>();
     private Set<NodeId> successors = Set.of();
     private Set<NodeId> links = Set.of();
 
-    private Neighbourhood(Duration inboundRetention) {
-        this.inboundRetention = inboundRetention;
+    private Neighbourhood(Duration pingRetention) {
+        this.pingRetention = pingRetention;
     }
 
     static Neighbourhood create(Duration probePeriod) {
-        return new Neighbourhood(probePeriod.multipliedBy(PERIODS));
+        return new Neighbourhood(probePeriod.multipliedBy(RETENTION_PERIODS));
     }
 
     void setSuccessors(Set<NodeId> next) {
@@ -38,16 +39,16 @@
         links = new LinkedHashSet<>(next);
     }
 
-    void heardPing(NodeId from, long now) {
-        inbound.put(from, now);
+    void onPing(NodeId from, long now) {
+        recentPingers.put(from, now);
     }
 
-    /** The neighbours as of now, in an order that depends on nothing but the calls made. */
+    /** Returns the current neighbours, in an order that depends only on the preceding calls. */
     Set<NodeId> all(long now) {
-        inbound.values().removeIf(at -> now - at > inboundRetention.toNanos());
+        recentPingers.values().removeIf(at -> now - at > pingRetention.toNanos());
         Set<NodeId> all = new LinkedHashSet<>(successors);
         all.addAll(links);
-        all.addAll(inbound.keySet());
+        all.addAll(recentPingers.keySet());
         return all;
     }
 }
--- a/src/main/java/io/beryldock/membership/NodeDescriptor.java
+++ b/src/main/java/io/beryldock/membership/NodeDescriptor.java
@@ -5,10 +5,11 @@
 import io.beryldock.call.NodeId;
 import java.net.InetSocketAddress;
 
-/** One start of one node and where its peers reach it. Immutable. */
+/** One incarnation of a node and its peer address. Immutable. */
 public record NodeDescriptor(NodeId id, Incarnation incarnation, DataCentre dataCentre, InetSocketAddress peerAddress) {
 
-    // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+    // Written out because the C1 compiler, which nodes run with, does not inline the generated equals of a record, an
+    // invokedynamic call.
     @Override
     public boolean equals(Object other) {
         return other instanceof NodeDescriptor that
--- a/src/main/java/io/beryldock/membership/PeerFinder.java
+++ b/src/main/java/io/beryldock/membership/PeerFinder.java
@@ -14,45 +14,45 @@
 import java.util.Set;
 
 /**
- * Finds the first peers of a node that hears from nobody: asks the seeds of its settings, and when these are silent
- * too reads further ones from the seed record.
+ * Finds the first peers of an isolated node: contacts the seeds of the settings, and if no seed answers, also the
+ * addresses of the seed record in the platform store.
  *
- * <p>Invariant: reads of the record are spaced by a delay that doubles up to {@link #MAX_READ_DELAY}, with jitter, so
- * that many isolated nodes do not fall upon a store that has just come back. Control thread only.
+ * <p>Invariant: reads of the record are spaced by a delay with jitter that doubles up to {@link #MAX_READ_DELAY}, so
+ * that many isolated nodes do not overload a store that has just recovered. Confined to the control thread.
  */
 final class PeerFinder {
 
     static final Duration MAX_READ_DELAY = Duration.ofSeconds(30);
 
-    /** Without a word from anybody for so long a node takes itself for isolated. */
+    /** A node is considered isolated when it has received no acknowledgement for this long. */
     static final Duration ISOLATED_AFTER = Duration.ofSeconds(10);
 
     private static final Duration FIRST_READ_DELAY = Duration.ofSeconds(2);
     private static final Duration MIN_CONTACT_DELAY = Duration.ofSeconds(1);
     private static final Duration MAX_CONTACT_DELAY = Duration.ofSeconds(5);
-    private static final int CONTACTS = 3;
+    private static final int CONTACTS_PER_ATTEMPT = 3;
 
     private final MembershipContext context;
-    private final SeedRecords records;
-    private final Set<InetSocketAddress> learned = new LinkedHashSet<>();
-    private boolean heardAny;
+    private final SeedRecords seedRecords;
+    private final Set<InetSocketAddress> recordAddresses = new LinkedHashSet<>();
+    private boolean anyAnswered;
     private long contactDelay;
     private long nextContact;
     private long readDelay;
     private long nextRead;
 
-    PeerFinder(MembershipContext context, SeedRecords records) {
+    PeerFinder(MembershipContext context, SeedRecords seedRecords) {
         this.context = context;
-        this.records = records;
+        this.seedRecords = seedRecords;
     }
 
     void start() {
         resetDelays(context.now());
     }
 
-    /** Whether no node has answered for a while, or since the start. */
+    /** Whether no node has answered since the start or within {@link #ISOLATED_AFTER}. */
     boolean isIsolated(long now) {
-        return !heardAny || now - context.prober().lastHeard() > ISOLATED_AFTER.toNanos();
+        return !anyAnswered || now - context.prober().lastAckAt() > ISOLATED_AFTER.toNanos();
     }
 
     void tick(long now) {
@@ -68,11 +68,11 @@
         if (now >= nextRead && isIsolated(now)) {
             nextRead = now + jittered(readDelay);
             readDelay = Math.min(2 * readDelay, MAX_READ_DELAY.toNanos());
-            records.read(read -> read.ifPresent(found -> learn(found.record())));
+            seedRecords.read(read -> read.ifPresent(found -> onRecord(found.record())));
         }
     }
 
-    /** Pings the address, in case a node is there that this one does not know. */
+    /** Probes the address, at which there may be a node that is unknown to this node. */
     void contact(InetSocketAddress address) {
         if (address.equals(self())) {
             return;
@@ -80,33 +80,33 @@
         context.prober().probe(address, new Prober.ProbeListener() {
             @Override
             public void answered(NodeId by) {
-                heardAny = true;
+                anyAnswered = true;
             }
 
             @Override
             public void unanswered() {
-                // The next try comes with the next tick that is due.
+                // The tick retries when the next contact is due.
             }
         });
     }
 
-    /** Notes that some node answered. */
-    void onHeard() {
-        heardAny = true;
+    /** Records that a node has answered. */
+    void onAck() {
+        anyAnswered = true;
     }
 
-    private void learn(SeedRecord record) {
-        learned.clear();
+    private void onRecord(SeedRecord record) {
+        recordAddresses.clear();
         for (SeedCentre centre : record.getCentresList()) {
             for (SeedAddress address : centre.getAddressesList()) {
-                read(address).ifPresent(learned::add);
+                decode(address).ifPresent(recordAddresses::add);
             }
         }
         contactSome();
     }
 
-    /** The address, empty when the record holds none there. */
-    static Optional<InetSocketAddress> read(SeedAddress address) {
+    /** Decodes the address; empty if it is invalid. */
+    static Optional<InetSocketAddress> decode(SeedAddress address) {
         try {
             return Optional.of(MembershipCodec.address(address.getAddress(), address.getPort()));
         } catch (IllegalArgumentException e) {
@@ -117,11 +117,11 @@
     private void contactSome() {
         Set<InetSocketAddress> candidates =
                 new LinkedHashSet<>(context.settings().seeds());
-        candidates.addAll(learned);
+        candidates.addAll(recordAddresses);
         candidates.remove(self());
-        List<InetSocketAddress> left = new ArrayList<>(candidates);
-        for (int i = 0; i < CONTACTS && !left.isEmpty(); i++) {
-            contact(left.remove(context.random().nextInt(left.size())));
+        List<InetSocketAddress> remaining = new ArrayList<>(candidates);
+        for (int i = 0; i < CONTACTS_PER_ATTEMPT && !remaining.isEmpty(); i++) {
+            contact(remaining.remove(context.random().nextInt(remaining.size())));
         }
     }
 
@@ -137,7 +137,7 @@
         nextRead = hasSeeds ? now + jittered(readDelay) : now;
     }
 
-    /** Between half of the delay and one and a half. */
+    /** Returns a random delay between half and one and a half times the given delay. */
     private long jittered(long delay) {
         return Jitter.around(Duration.ofNanos(delay), context.random()).toNanos();
     }
--- a/src/main/java/io/beryldock/membership/Prober.java
+++ b/src/main/java/io/beryldock/membership/Prober.java
@@ -18,16 +18,16 @@
 import java.util.Set;
 
 /**
- * Pings nodes and answers pings.
+ * Probes nodes with pings and answers the pings of other nodes.
  *
- * <p>A probe ends once: answered by the node that was meant, or unanswered after the timeout. Pings and
- * acknowledgements carry what the other side must know of the two: the record of a sender that the receiver may not
- * hold, and what the sender holds of a receiver that it does not take for alive, so that it can deny. Control thread
- * only.
+ * <p>Each probe ends once: answered by the intended node, or unanswered after the timeout. Pings and acknowledgements
+ * carry the records of the two nodes that the receiver may lack: the sender's own record if the receiver may not hold
+ * it, and the receiver's record if its status in the sender's view is not {@code ALIVE}, so that the receiver can
+ * refute that status. Confined to the control thread.
  */
 final class Prober {
 
-    /** Hears how a probe ended. */
+    /** Receives the result of a probe. */
     interface ProbeListener {
 
         void answered(NodeId by);
@@ -43,9 +43,9 @@
     private final Ticker ticker;
     private final Duration timeout;
     private final Map<Integer, Probe> pending = new LinkedHashMap<>();
-    private final Set<NodeId> knowsMe = new HashSet<>();
+    private final Set<NodeId> holdersOfOwnRecord = new HashSet<>();
     private int lastNumber;
-    private long lastHeard;
+    private long lastAckAt;
 
     private Prober(SelfRecord self, MembershipView view, MessageSender sender, Ticker ticker, Duration timeout) {
         this.self = self;
@@ -53,17 +53,17 @@
         this.sender = sender;
         this.ticker = ticker;
         this.timeout = timeout;
-        this.lastHeard = ticker.nanos();
+        this.lastAckAt = ticker.nanos();
     }
 
     static Prober create(SelfRecord self, MembershipView view, MessageSender sender, Ticker ticker, Duration timeout) {
         return new Prober(self, view, sender, ticker, timeout);
     }
 
-    /** Probes a node that the view holds. */
+    /** Probes a node of the view. */
     void probe(MemberRecord target, ProbeListener listener) {
         MembershipMessage.Builder message = MembershipMessage.newBuilder().setPing(ping(target.shortIncarnation()));
-        if (!knowsMe.contains(target.id())) {
+        if (!holdersOfOwnRecord.contains(target.id())) {
             message.addRecords(MembershipCodec.encode(self.current()));
         }
         if (target.status() != MemberStatus.ALIVE) {
@@ -72,14 +72,14 @@
         send(target.node().peerAddress(), message, Optional.of(target.id()), listener);
     }
 
-    /** Probes whichever node is at the address. */
+    /** Probes the address, regardless of which node answers. */
     void probe(InetSocketAddress address, ProbeListener listener) {
         MembershipMessage.Builder message =
                 MembershipMessage.newBuilder().setPing(ping(0)).addRecords(MembershipCodec.encode(self.current()));
         send(address, message, Optional.empty(), listener);
     }
 
-    /** Answers a ping, after its records were taken in. */
+    /** Answers a ping whose records have been merged. */
     void onPing(NodeId from, MembershipMessage message) {
         Optional<MemberRecord> held = view.find(from);
         Optional<InetSocketAddress> to = replyAddress(from, message, held);
@@ -91,24 +91,24 @@
         if (message.getPing().getTargetIncarnation() != self.current().shortIncarnation()) {
             reply.addRecords(MembershipCodec.encode(self.current()));
         }
-        held.filter(known -> mustBeTold(known, message))
+        held.filter(known -> needsRecord(known, message))
                 .ifPresent(known -> reply.addRecords(MembershipCodec.encode(known)));
         sender.sendWithRoot(to.get(), reply);
     }
 
-    /** Takes an acknowledgement, after its records were taken in. */
+    /** Handles an acknowledgement whose records have been merged. */
     void onAck(NodeId from, MembershipMessage message) {
-        lastHeard = ticker.nanos();
-        knowsMe.add(from);
+        lastAckAt = ticker.nanos();
+        holdersOfOwnRecord.add(from);
         Probe probe = pending.get(message.getAck().getNumber());
-        // Another node may have got the address of the one that was meant: its answer says nothing of that one.
+        // The address may have been reassigned to another node, whose answer does not count for the probed node.
         if (probe != null && probe.target().map(from::equals).orElse(true)) {
             pending.remove(message.getAck().getNumber());
             probe.listener().answered(from);
         }
     }
 
-    /** Ends the probes that are over their timeout. */
+    /** Ends the probes whose timeout has expired. */
     void tick(long now) {
         List<Probe> failed = new ArrayList<>();
         Iterator<Probe> probes = pending.values().iterator();
@@ -123,23 +123,26 @@
         failed.forEach(this::fail);
     }
 
-    /** Drops all open probes without a word: after a pause of this node their silence proves nothing. */
-    void forgetOpenProbes() {
+    /**
+     * Discards all open probes without calling their listeners: after a pause of this node, missing answers prove
+     * nothing.
+     */
+    void discardOpenProbes() {
         pending.clear();
-        lastHeard = ticker.nanos();
+        lastAckAt = ticker.nanos();
     }
 
-    void forget(NodeId id) {
-        knowsMe.remove(id);
+    void remove(NodeId id) {
+        holdersOfOwnRecord.remove(id);
     }
 
-    /** When the last acknowledgement of any node came. */
-    long lastHeard() {
-        return lastHeard;
+    /** Returns the monotonic time of the last acknowledgement from any node. */
+    long lastAckAt() {
+        return lastAckAt;
     }
 
     private void fail(Probe probe) {
-        probe.target().ifPresent(knowsMe::remove);
+        probe.target().ifPresent(holdersOfOwnRecord::remove);
         probe.listener().unanswered();
     }
 
@@ -154,11 +157,14 @@
         sender.sendWithRoot(to, message);
     }
 
-    private static boolean mustBeTold(MemberRecord known, MembershipMessage message) {
+    private static boolean needsRecord(MemberRecord known, MembershipMessage message) {
         return known.status() != MemberStatus.ALIVE || known.shortIncarnation() != message.getSenderIncarnation();
     }
 
-    /** A sender whose record came along is reached there, even if another start of its id is held. */
+    /**
+     * Returns the address for the reply: that of the sender's record in the message if present, even if the view holds
+     * another incarnation of its id, otherwise that of the view.
+     */
     private static Optional<InetSocketAddress> replyAddress(
             NodeId from, MembershipMessage message, Optional<MemberRecord> held) {
         for (MembershipRecord wire : message.getRecordsList()) {
--- a/src/main/java/io/beryldock/membership/Reachability.java
+++ b/src/main/java/io/beryldock/membership/Reachability.java
@@ -1,10 +1,10 @@
 package io.beryldock.membership;
 
-/** What this node believes of another one's being reached. Traffic prefers the reachable and tries the rest last. */
+/** The reachability of a node as believed by this node. Traffic prefers reachable nodes and tries all others last. */
 public enum Reachability {
     REACHABLE,
-    /** Some nodes get no answer from it; it may still deny. */
+    /** Some nodes receive no answer from it; it may still refute the suspicion. */
     SUSPECTED,
-    /** It, or its whole data centre, answers nobody here. */
+    /** The node or its whole data centre does not answer any node of this data centre. */
     UNREACHABLE
 }
--- a/src/main/java/io/beryldock/membership/RecordSpreader.java
+++ b/src/main/java/io/beryldock/membership/RecordSpreader.java
@@ -14,11 +14,11 @@
 import java.util.Set;
 
 /**
- * Passes news on to the neighbours, each piece once to each.
+ * Disseminates changed records to the neighbours, each change once to each neighbour.
  *
- * <p>News waits a moment, so that several pieces share a message and a piece which the neighbour meanwhile sent itself
- * is not sent back. What is lost on the way arrives by another neighbour, or else by {@link AntiEntropy}. Invariant:
- * what is sent is the record held at the moment of sending. Control thread only.
+ * <p>Changes are delayed briefly, so that several of them share a message and a change that the neighbour itself sends
+ * in the meantime is not sent back to it. A record that is lost arrives through another neighbour or by {@link
+ * AntiEntropy}. Invariant: the record sent is the one held at the time of sending. Confined to the control thread.
  */
 final class RecordSpreader {
 
@@ -29,7 +29,7 @@
     private final MessageSender sender;
     private final TimerService timers;
     private final Map<NodeId, Set<NodeId>> queues = new LinkedHashMap<>();
-    private boolean armed;
+    private boolean scheduled;
 
     private RecordSpreader(MembershipView view, Neighbourhood neighbours, MessageSender sender, TimerService timers) {
         this.view = view;
@@ -43,30 +43,30 @@
         return new RecordSpreader(view, neighbours, sender, timers);
     }
 
-    /** Queues the news for all neighbours but the one it came from. */
-    void spread(NodeId news, Optional<NodeId> from) {
+    /** Queues the record for all neighbours except the one it was received from. */
+    void spread(NodeId id, Optional<NodeId> from) {
         for (NodeId neighbour : neighbours.all(timers.ticker().nanos())) {
-            if (!from.equals(Optional.of(neighbour)) && !neighbour.equals(news)) {
-                queue(neighbour, news);
+            if (!from.equals(Optional.of(neighbour)) && !neighbour.equals(id)) {
+                queue(neighbour, id);
             }
         }
     }
 
-    /** Queues the news for one node. */
-    void queue(NodeId receiver, NodeId news) {
-        queues.computeIfAbsent(receiver, id -> new LinkedHashSet<>()).add(news);
-        arm();
+    /** Queues the record for one node. */
+    void queue(NodeId receiver, NodeId id) {
+        queues.computeIfAbsent(receiver, key -> new LinkedHashSet<>()).add(id);
+        schedule();
     }
 
-    /** Notes that the node has the record as it is held here. */
-    void isKnownBy(NodeId receiver, NodeId news) {
+    /** Removes the record from the queue of a node that already has the current version. */
+    void markKnown(NodeId receiver, NodeId id) {
         Set<NodeId> queue = queues.get(receiver);
         if (queue != null) {
-            queue.remove(news);
+            queue.remove(id);
         }
     }
 
-    /** Sends what is queued now. */
+    /** Sends a batch of the queued records to each receiver. */
     void flush() {
         Iterator<Map.Entry<NodeId, Set<NodeId>>> all = queues.entrySet().iterator();
         while (all.hasNext()) {
@@ -92,18 +92,18 @@
         sender.sendRecords(to, batch);
     }
 
-    private void arm() {
-        if (!armed) {
-            armed = true;
-            timers.after(DELAY, this::onDue);
+    private void schedule() {
+        if (!scheduled) {
+            scheduled = true;
+            timers.after(DELAY, this::onTimer);
         }
     }
 
-    private void onDue() {
-        armed = false;
+    private void onTimer() {
+        scheduled = false;
         flush();
         if (!queues.isEmpty()) {
-            arm();
+            schedule();
         }
     }
 }
--- a/src/main/java/io/beryldock/membership/RegistryMembership.java
+++ b/src/main/java/io/beryldock/membership/RegistryMembership.java
@@ -23,33 +23,40 @@
 import java.util.function.Consumer;
 
 /**
- * Membership through the platform's store: each node writes its own record under a lease and follows those of all
- * others.
+ * Membership based on the platform's store: each node writes its own record under a lease and watches the records of
+ * all other nodes.
  *
- * <p>An entry that disappears while its node did not say that it leaves is kept for a while: the store removes entries
- * of living nodes when their leases run out in an outage, or when it turns a node away. A wrong entry costs an attempt
- * at most, as the gate of a target is its own node. Without this rule an outage of the store would empty the directory
- * and every request would be refused. Control thread only, but for {@link #directory()}.
+ * <p>An entry that disappears without a departure of its node is retained for some time, because the store removes
+ * entries of running nodes when their leases expire during an outage or when it rejects a node. Without this retention,
+ * an outage of the store would empty the directory and every request would be refused. A stale entry costs at most a
+ * failed attempt, because each request is admitted by the node of its target. Confined to the control thread, except
+ * for {@link #directory()}.
  */
 public final class RegistryMembership implements Membership {
 
-    /** Keys of the records; what follows is the node's id. */
+    /** Prefix of the keys of the records; the rest of the key is the node's id. */
     static final String PREFIX = "beryldock/nodes/";
 
-    /** How long an entry that has lapsed is kept while nobody finds its node unreachable: longer than most outages. */
-    static final Duration LAPSE_HOLD = Duration.ofSeconds(20);
+    /**
+     * How long a lapsed entry is retained while its node has not been found unreachable; exceeds the duration of most
+     * outages.
+     */
+    static final Duration LAPSED_ENTRY_RETENTION = Duration.ofSeconds(20);
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
-    /** Nodes start and leave in groups; each one's entry need not be fetched by a call of its own. */
-    private static final Duration WATCH_GATHER = Duration.ofMillis(250);
+    /** Nodes start and leave in groups; this delay lets one call fetch the entries of a group. */
+    private static final Duration WATCH_BATCH_DELAY = Duration.ofMillis(250);
 
-    /** A target announces itself each second or two; an entry that names it from the start is written once. */
-    private static final Duration FIRST_ENTRY = Duration.ofMillis(1600);
+    /**
+     * A target announces itself every one to two seconds; this delay lets the first entry include the target, so that
+     * it is written once.
+     */
+    private static final Duration FIRST_WRITE_DELAY = Duration.ofMillis(1600);
 
-    private static final Duration GATHER = Duration.ofMillis(20);
-    private static final Duration TICK = Duration.ofSeconds(1);
-    private static final Duration LEAVE_LIMIT = Duration.ofSeconds(1);
+    private static final Duration PUBLISH_DELAY = Duration.ofMillis(20);
+    private static final Duration TICK_PERIOD = Duration.ofSeconds(1);
+    private static final Duration LEAVE_TIMEOUT = Duration.ofSeconds(1);
 
     private final NodeDescriptor self;
     private final TimerService timers;
@@ -57,9 +64,9 @@
     private final StoreSharing sharing;
     private final RegistryRecord own;
     private final MembershipCodec codec = MembershipCodec.create();
-    private final Map<String, Known> known = new HashMap<>();
+    private final Map<String, KnownNode> knownNodes = new HashMap<>();
 
-    /** Starts of nodes that have left, and when this node heard of it. */
+    /** Incarnations that have left, with the monotonic time at which this node received the departure. */
     private final Map<Incarnation, Long> departed = new HashMap<>();
 
     private final DirectoryFeed feed;
@@ -70,24 +77,27 @@
         this.timers = ports.timers();
         this.events = ports.events();
         this.sharing = ports.sharing();
-        this.feed = new DirectoryFeed(ports.timers(), GATHER, this::make);
-        this.own = new RegistryRecord(PREFIX + self.id().value(), MemberRecord.ofStart(self), ports);
+        this.feed = new DirectoryFeed(ports.timers(), PUBLISH_DELAY, this::buildDirectory);
+        this.own = new RegistryRecord(PREFIX + self.id().value(), MemberRecord.initial(self), ports);
     }
 
-    /** Makes the membership; it calls nobody before {@link #start()}. */
+    /** Creates the membership, which makes no calls before {@link #start()}. */
     public static RegistryMembership create(NodeDescriptor self, RegistryPorts ports) {
         return new RegistryMembership(self, ports);
     }
 
-    /** A record as last read, and since when its entry is gone from the store; empty while it is there. */
-    private record Known(MemberRecord record, Optional<Long> lapsedAt) {}
+    /**
+     * The last record read of a node, and the monotonic time at which its entry disappeared from the store; empty while
+     * the entry exists.
+     */
+    private record KnownNode(MemberRecord record, Optional<Long> lapsedAt) {}
 
     @Override
     public void start() {
-        timers.after(FIRST_ENTRY, own::publish);
-        sharing.follow(PREFIX, WATCH_GATHER, new RecordListener());
-        timers.every(TICK, this::tick);
-        feed.publishSoon();
+        timers.after(FIRST_WRITE_DELAY, own::publish);
+        sharing.follow(PREFIX, WATCH_BATCH_DELAY, new RecordEntryListener());
+        timers.every(TICK_PERIOD, this::tick);
+        feed.schedulePublish();
     }
 
     @Override
@@ -95,7 +105,7 @@
         if (own.announce(Optional.of(new AnnouncedTarget(service, slots, state)))) {
             EventKind kind = state == TargetState.LEAVING ? EventKind.TARGET_LEAVING : EventKind.TARGET_ANNOUNCED;
             events.record(kind, service.value(), "target with " + slots + " slots is " + state);
-            feed.publishSoon();
+            feed.schedulePublish();
         }
     }
 
@@ -103,7 +113,7 @@
     public void withdraw() {
         if (own.announce(Optional.empty())) {
             events.record(EventKind.TARGET_LOST, self.id().value(), "the target is withdrawn");
-            feed.publishSoon();
+            feed.schedulePublish();
         }
     }
 
@@ -111,7 +121,7 @@
     public CompletableFuture<Void> leave() {
         CompletableFuture<Void> done = new CompletableFuture<>();
         own.leave().whenComplete((ended, failure) -> done.complete(null));
-        timers.after(LEAVE_LIMIT, () -> done.complete(null));
+        timers.after(LEAVE_TIMEOUT, () -> done.complete(null));
         return done;
     }
 
@@ -125,13 +135,13 @@
         return feed.directory();
     }
 
-    /** An entry that has lapsed and whose node does not answer either is that of a node which is gone. */
+    /** Removes the node if its entry has lapsed: a node without an entry that does not answer is assumed to be gone. */
     @Override
     public void hintUnreachable(NodeId node) {
         String key = PREFIX + node.value();
-        Known entry = known.get(key);
+        KnownNode entry = knownNodes.get(key);
         if (entry != null && entry.lapsedAt().isPresent()) {
-            forget(key);
+            remove(key);
         }
     }
 
@@ -143,28 +153,28 @@
     private void tick() {
         own.renew();
         long now = timers.ticker().nanos();
-        List<String> expired = known.entrySet().stream()
+        List<String> expired = knownNodes.entrySet().stream()
                 .filter(entry -> entry.getValue()
                         .lapsedAt()
-                        .filter(since -> now - since > LAPSE_HOLD.toNanos())
+                        .filter(since -> now - since > LAPSED_ENTRY_RETENTION.toNanos())
                         .isPresent())
                 .map(Map.Entry::getKey)
                 .toList();
-        expired.forEach(this::forget);
-        departed.values().removeIf(since -> now - since > LAPSE_HOLD.toNanos());
+        expired.forEach(this::remove);
+        departed.values().removeIf(since -> now - since > LAPSED_ENTRY_RETENTION.toNanos());
     }
 
-    private void forget(String key) {
-        if (known.remove(key) != null) {
-            feed.publishSoon();
+    private void remove(String key) {
+        if (knownNodes.remove(key) != null) {
+            feed.schedulePublish();
         }
     }
 
-    private Directory make() {
+    private Directory buildDirectory() {
         List<NodeDescriptor> nodes = new ArrayList<>();
         List<TargetRecord> targets = new ArrayList<>();
         add(own.record(), nodes, targets);
-        known.values().forEach(entry -> add(entry.record(), nodes, targets));
+        knownNodes.values().forEach(entry -> add(entry.record(), nodes, targets));
         return Directory.of(nodes, targets);
     }
 
@@ -173,43 +183,50 @@
         record.targetRecord().ifPresent(targets::add);
     }
 
-    private void take(String key, MemberRecord record) {
-        Incarnation start = record.node().incarnation();
+    private void apply(String key, MemberRecord record) {
+        Incarnation incarnation = record.node().incarnation();
         if (record.hasLeft()) {
-            departed.put(start, timers.ticker().nanos());
-            forget(key);
+            departed.put(incarnation, timers.ticker().nanos());
+            remove(key);
             return;
         }
-        if (departed.containsKey(start)) {
+        if (departed.containsKey(incarnation)) {
             return;
         }
-        // A VM's address may be used again by another node; the entry of the earlier one is then surely old.
-        known.entrySet()
+        // The address of a VM may be reassigned to another node; the entry of the previous node at that address is then
+        // stale.
+        knownNodes
+                .entrySet()
                 .removeIf(entry -> !entry.getKey().equals(key)
                         && entry.getValue()
                                 .record()
                                 .node()
                                 .peerAddress()
                                 .equals(record.node().peerAddress()));
-        known.put(key, new Known(newest(key, record), Optional.empty()));
-        feed.publishSoon();
+        knownNodes.put(key, new KnownNode(newest(key, record), Optional.empty()));
+        feed.schedulePublish();
     }
 
-    /** The store may come back from a copy that holds an older record than the one known; its node writes it again. */
+    /**
+     * Returns the newer of the given record and the known one: the store may be restored from a copy with an older
+     * record, which its node then writes again.
+     */
     private MemberRecord newest(String key, MemberRecord found) {
-        Known entry = known.get(key);
+        KnownNode entry = knownNodes.get(key);
         return entry != null && entry.record().isNewerThan(found) ? entry.record() : found;
     }
 
-    private void lapse(String key) {
-        Known entry = known.get(key);
+    private void markLapsed(String key) {
+        KnownNode entry = knownNodes.get(key);
         if (entry != null && entry.lapsedAt().isEmpty()) {
-            known.put(key, new Known(entry.record(), Optional.of(timers.ticker().nanos())));
+            knownNodes.put(
+                    key,
+                    new KnownNode(entry.record(), Optional.of(timers.ticker().nanos())));
         }
     }
 
-    /** Takes in what the store tells. */
-    private final class RecordListener implements EntryListener {
+    /** Applies the entries received from the store. */
+    private final class RecordEntryListener implements EntryListener {
 
         @Override
         public boolean onEntry(Entry entry) {
@@ -218,11 +235,11 @@
                 return true;
             }
             if (entry.value().isEmpty()) {
-                lapse(entry.key());
+                markLapsed(entry.key());
                 return true;
             }
             Optional<MemberRecord> record = decode(entry);
-            record.ifPresent(found -> take(entry.key(), found));
+            record.ifPresent(found -> apply(entry.key(), found));
             return record.isPresent();
         }
 
@@ -233,21 +250,21 @@
                 checkOrigin(entry.key(), record);
                 return Optional.of(record);
             } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-                log.atWarning().withCause(e).log("the entry %s is no record of a node and is passed over", entry.key());
+                log.atWarning().withCause(e).log("ignoring entry %s: not a valid node record", entry.key());
                 return Optional.empty();
             }
         }
 
         /**
-         * Guards against an entry that another program wrote or spoiled: taken in, it would send requests of a service
-         * to a node that has no such target, or push a sound node out of the directory.
+         * Rejects an entry that another program wrote or corrupted: accepting it would send requests of a service to a
+         * node without such a target, or remove a healthy node from the directory.
          */
         private void checkOrigin(String key, MemberRecord record) {
             boolean ownKey = key.equals(PREFIX + record.id().value());
             boolean reachable = record.node().peerAddress().getPort() > 0;
             boolean slots = record.target().map(AnnouncedTarget::slots).orElse(1) > 0;
             if (!ownKey || !reachable || !slots) {
-                throw new IllegalArgumentException("its id, port or slots can't be those of the node of that key");
+                throw new IllegalArgumentException("node id does not match the key, or port or slots are not positive");
             }
         }
 
--- a/src/main/java/io/beryldock/membership/RegistryPorts.java
+++ b/src/main/java/io/beryldock/membership/RegistryPorts.java
@@ -7,7 +7,7 @@
 import io.beryldock.timeline.EventSink;
 import java.util.random.RandomGenerator;
 
-/** What membership through the store works with; the timers run on the control thread. Immutable. */
+/** The dependencies of store-based membership; the timers run on the control thread. Immutable. */
 public record RegistryPorts(
         RegistryStore store,
         StoreRecovery recovery,
--- a/src/main/java/io/beryldock/membership/RegistryRecord.java
+++ b/src/main/java/io/beryldock/membership/RegistryRecord.java
@@ -17,28 +17,31 @@
 import java.util.random.RandomGenerator;
 
 /**
- * This node's own record in the store, kept there under a lease.
+ * Maintains this node's own record in the store under a lease.
  *
- * <p>Control thread only. Invariant: the record in the store is the current one, or a write of it is under way or due.
- * After an outage it is back within about a second: while the store gives no answer it is asked each
- * {@link #RETRY}, and an entry that is seen to be gone is written again at once. When the store has come back from an
- * older copy the entry is read back, and written again unless it is there as it was.
+ * <p>Confined to the control thread. Invariant: the store holds the current record, or a write of it is in progress or
+ * due. After an outage the record is restored within about a second: while the store does not answer, the call is
+ * retried every {@link #RETRY_DELAY}, and an entry known to be missing is written again immediately. After the store
+ * has been restored from an older copy, the entry is read back and written again if it differs from the current record.
  */
 final class RegistryRecord {
 
-    /** Length of the lease: entries of nodes that died are gone after it. Renewals are cheap but not free. */
+    /**
+     * Duration of the lease, after which the entry of a dead node is removed. A shorter lease would need more frequent
+     * renewals.
+     */
     static final Duration LEASE = Duration.ofSeconds(15);
 
-    /** A third of the lease, so that two renewals may be lost. */
-    private static final Duration RENEWAL = Duration.ofSeconds(5);
+    /** A third of the lease, so that two consecutive renewals may be lost. */
+    private static final Duration RENEWAL_PERIOD = Duration.ofSeconds(5);
 
-    /** Writings of this node that its own news may still tell of. */
-    private static final int WRITINGS_KEPT = 8;
+    /** Number of recent writes of this node that are recognised when the watch reports them. */
+    private static final int MAX_RECENT_WRITES = 8;
 
-    private static final Duration RETRY = Duration.ofMillis(500);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
-    /** Nodes hear of a new era at the same time; their readings are spread over this. */
-    private static final Duration CHECK_SPREAD = Duration.ofMillis(300);
+    /** All nodes detect a new era of the store at the same time; their reads are spread over this period. */
+    private static final Duration READ_BACK_SPREAD = Duration.ofMillis(300);
 
     private static final long NO_LEASE = 0;
 
@@ -49,12 +52,12 @@
     private final RandomGenerator random;
     private MemberRecord record;
     private long lease = NO_LEASE;
-    private long written = -1;
+    private long writtenRevision = -1;
     private long renewedAt;
-    private boolean busy;
+    private boolean callInProgress;
     private boolean left;
-    private boolean unchecked;
-    private final Deque<ByteString> writings = new ArrayDeque<>();
+    private boolean readBackDue;
+    private final Deque<ByteString> recentWrites = new ArrayDeque<>();
 
     RegistryRecord(String key, MemberRecord record, RegistryPorts ports) {
         this.key = key;
@@ -74,7 +77,7 @@
         return record;
     }
 
-    /** Takes another target; tells whether that changed the record. */
+    /** Sets the announced target and returns whether this changed the record. */
     boolean announce(Optional<AnnouncedTarget> target) {
         if (record.target().equals(target) || left) {
             return false;
@@ -84,18 +87,18 @@
         return true;
     }
 
-    /** Writes the record, unless it is in the store already. */
+    /** Writes the record unless the store already holds it. */
     void publish() {
-        if (busy || left) {
+        if (callInProgress || left) {
             return;
         }
-        if (written == record.revision()) {
-            checkIfDue();
+        if (writtenRevision == record.revision()) {
+            readBackIfDue();
             return;
         }
-        busy = true;
+        callInProgress = true;
         if (lease == NO_LEASE) {
-            hear(store.grantLease(LEASE), this::onGranted);
+            callStore(store.grantLease(LEASE), this::onGranted);
         } else {
             write();
         }
@@ -114,15 +117,15 @@
     private void write() {
         long revision = record.revision();
         ByteString value = MembershipCodec.encode(record).toByteString();
-        remember(value);
-        hear(store.put(key, value, lease), (done, failure) -> {
+        addRecentWrite(value);
+        callStore(store.put(key, value, lease), (done, failure) -> {
             if (failure != null) {
                 retry();
                 return;
             }
-            busy = false;
+            callInProgress = false;
             if (done) {
-                written = revision;
+                writtenRevision = revision;
             } else {
                 lease = NO_LEASE;
             }
@@ -130,45 +133,45 @@
         });
     }
 
-    private void remember(ByteString value) {
-        writings.addLast(value);
-        if (writings.size() > WRITINGS_KEPT) {
-            writings.removeFirst();
+    private void addRecentWrite(ByteString value) {
+        recentWrites.addLast(value);
+        if (recentWrites.size() > MAX_RECENT_WRITES) {
+            recentWrites.removeFirst();
         }
     }
 
     private void retry() {
-        timers.after(Jitter.around(RETRY, random), () -> {
-            busy = false;
+        timers.after(Jitter.around(RETRY_DELAY, random), () -> {
+            callInProgress = false;
             publish();
         });
     }
 
-    /** What the store had acknowledged may be lost, and its lease with it. */
+    /** Schedules a check of the entry: in a new era the store may have lost acknowledged writes and the lease. */
     private void onEraRisen() {
-        timers.after(Jitter.around(CHECK_SPREAD.dividedBy(2), random), () -> {
-            unchecked = true;
+        timers.after(Jitter.around(READ_BACK_SPREAD.dividedBy(2), random), () -> {
+            readBackDue = true;
             publish();
         });
     }
 
-    private void checkIfDue() {
-        if (unchecked) {
-            busy = true;
-            unchecked = false;
-            hear(store.list(key), this::onReadBack);
+    private void readBackIfDue() {
+        if (readBackDue) {
+            callInProgress = true;
+            readBackDue = false;
+            callStore(store.list(key), this::onReadBack);
         }
     }
 
     private void onReadBack(Listing listing, Throwable failure) {
         if (failure != null) {
-            unchecked = true;
+            readBackDue = true;
             retry();
             return;
         }
-        busy = false;
+        callInProgress = false;
         if (holdsRecord(listing)) {
-            renewSoon();
+            renewNow();
         } else {
             rewrite();
         }
@@ -181,58 +184,58 @@
                 .anyMatch(entry -> entry.value().filter(current::equals).isPresent());
     }
 
-    /** The store may have lost the last renewal. */
-    private void renewSoon() {
-        renewedAt = timers.ticker().nanos() - RENEWAL.toNanos();
+    /** Renews the lease immediately, because the store may have lost the last renewal. */
+    private void renewNow() {
+        renewedAt = timers.ticker().nanos() - RENEWAL_PERIOD.toNanos();
         renew();
     }
 
-    /** Renews the lease when that is due. */
+    /** Renews the lease if a renewal is due. */
     void renew() {
-        boolean due = timers.ticker().nanos() - renewedAt >= RENEWAL.toNanos();
-        if (busy || left || lease == NO_LEASE || !due) {
+        boolean due = timers.ticker().nanos() - renewedAt >= RENEWAL_PERIOD.toNanos();
+        if (callInProgress || left || lease == NO_LEASE || !due) {
             return;
         }
-        busy = true;
-        hear(store.renewLease(lease), this::onRenewed);
+        callInProgress = true;
+        callStore(store.renewLease(lease), this::onRenewed);
     }
 
     private void onRenewed(Boolean alive, Throwable failure) {
         if (failure != null) {
-            // Asked again soon: the lease may have ended, and the entry must be back soon after the store is.
-            timers.after(RETRY, this::afterRenewal);
+            // Retried soon: the lease may have expired, and the entry must be restored soon after the store.
+            timers.after(RETRY_DELAY, this::afterRenewal);
             return;
         }
         renewedAt = timers.ticker().nanos();
         if (!alive) {
-            lose();
+            discardLease();
         }
         afterRenewal();
     }
 
     /**
-     * Does what was held up by the renewal.
+     * Performs the work that was deferred during the renewal.
      *
-     * <p>The watch may tell that the entry is gone while a renewal is under way. Were that left to the next renewal the
-     * entry would never come back: without a lease there is none.
+     * <p>The watch may report the removal of the entry while a renewal is in progress. If the write were left to the
+     * next renewal, the entry would never be restored, because without a lease no renewal takes place.
      */
     private void afterRenewal() {
-        busy = false;
+        callInProgress = false;
         publish();
         renew();
     }
 
     private void rewrite() {
-        lose();
+        discardLease();
         publish();
     }
 
-    private void lose() {
+    private void discardLease() {
         lease = NO_LEASE;
-        written = -1;
+        writtenRevision = -1;
     }
 
-    /** The store told that this node's own entry was removed. */
+    /** Handles the removal of this node's own entry from the store. */
     void onRemoved() {
         if (!left) {
             rewrite();
@@ -240,30 +243,30 @@
     }
 
     /**
-     * The store told what this node's own entry holds.
+     * Handles a value of this node's own entry reported by the store.
      *
-     * <p>Another program may have written over it; then nobody who reads it finds this node's target until it is
-     * written again. An entry of an earlier start of this node is replaced by the first writing anyway.
+     * <p>If another program has overwritten the entry, readers cannot find this node's target until it is written
+     * again. An entry of an earlier incarnation of this node needs no handling, because the first write replaces it.
      */
     void onEntry(ByteString value) {
-        if (written >= 0 && !left && !writings.contains(value)) {
-            written = -1;
+        if (writtenRevision >= 0 && !left && !recentWrites.contains(value)) {
+            writtenRevision = -1;
             publish();
         }
     }
 
-    /** Says that this node leaves, then removes the entry. */
+    /** Writes the departure of this node and then ends the lease, which removes the entry. */
     CompletableFuture<Void> leave() {
         left = true;
         if (lease == NO_LEASE) {
             return CompletableFuture.completedFuture(null);
         }
-        MemberRecord gone = record.withStatus(MemberStatus.LEFT);
-        return store.put(key, MembershipCodec.encode(gone).toByteString(), lease)
+        MemberRecord departed = record.withStatus(MemberStatus.LEFT);
+        return store.put(key, MembershipCodec.encode(departed).toByteString(), lease)
                 .thenCompose(done -> store.endLease(lease));
     }
 
-    private <T> void hear(CompletableFuture<T> call, BiConsumer<T, Throwable> then) {
+    private <T> void callStore(CompletableFuture<T> call, BiConsumer<T, Throwable> then) {
         TimerThread.hear(timers, call, (value, failure) -> {
             then.accept(value, failure);
             recovery.onCall(failure == null);
--- a/src/main/java/io/beryldock/membership/RingNeighbours.java
+++ b/src/main/java/io/beryldock/membership/RingNeighbours.java
@@ -1,24 +1,24 @@
 package io.beryldock.membership;
 
 import io.beryldock.call.NodeId;
-import io.beryldock.membership.MembershipView.Held;
+import io.beryldock.membership.MembershipView.HeldRecord;
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.Optional;
 import java.util.Set;
 
 /**
- * Chooses whom a node probes: its successors on several rings, on each of which all members stand in another order.
+ * Chooses the nodes that a node probes: its successors on several rings, each of which orders all members differently.
  *
- * <p>So each member has as many observers as there are rings, a node keeps few connections however many members there
- * are, and a change of one member moves a few neighbours only. Stateless, thread safe.
+ * <p>Each member therefore has as many observers as there are rings, a node keeps few connections regardless of the
+ * number of members, and a change of one member changes the neighbours of only a few nodes. Stateless and thread-safe.
  */
 final class RingNeighbours {
 
     private RingNeighbours() {}
 
-    /** At most {@code rings} distinct successors of the node among the members. */
-    static Set<NodeId> successors(NodeId self, Collection<Held> members, int rings) {
+    /** Returns at most {@code rings} distinct successors of the node among the members. */
+    static Set<NodeId> successors(NodeId self, Collection<HeldRecord> members, int rings) {
         Set<NodeId> chosen = new LinkedHashSet<>();
         long selfHash = MembershipHashing.ofId(self);
         for (int ring = 1; ring <= rings; ring++) {
@@ -28,11 +28,11 @@
     }
 
     private static Optional<NodeId> successor(
-            NodeId self, long selfHash, Collection<Held> members, int ring, Set<NodeId> chosen) {
+            NodeId self, long selfHash, Collection<HeldRecord> members, int ring, Set<NodeId> chosen) {
         long own = MembershipHashing.weight(selfHash, ring);
-        Held best = null;
+        HeldRecord best = null;
         long bestDistance = -1;
-        for (Held member : members) {
+        for (HeldRecord member : members) {
             if (member.id().equals(self) || chosen.contains(member.id())) {
                 continue;
             }
@@ -42,6 +42,6 @@
                 bestDistance = distance;
             }
         }
-        return Optional.ofNullable(best).map(Held::id);
+        return Optional.ofNullable(best).map(HeldRecord::id);
     }
 }
--- a/src/main/java/io/beryldock/membership/SeedRecords.java
+++ b/src/main/java/io/beryldock/membership/SeedRecords.java
@@ -18,7 +18,8 @@
 /**
  * Reads and writes the seed record in the platform store and counts the calls.
  *
- * <p>Results come on the control thread, whatever thread the store completes on. Control thread only.
+ * <p>Callbacks run on the control thread, regardless of the thread on which the store completes. Confined to the
+ * control thread.
  */
 final class SeedRecords {
 
@@ -26,7 +27,7 @@
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
-    /** The record as read, with the version that a write must name. Immutable. */
+    /** The record as read, with the version required for a conditional write. Immutable. */
     record Versioned(long version, SeedRecord record) {}
 
     private final PlatformStore store;
@@ -42,7 +43,7 @@
         this.events = events;
     }
 
-    /** Reads the record; the result is empty when the store cannot be reached. */
+    /** Reads the record; the result is empty if the store cannot be reached. */
     void read(Consumer<Optional<Versioned>> then) {
         reads++;
         TimerThread.hear(timers, store.get(KEY), (value, failure) -> {
@@ -51,11 +52,12 @@
         });
     }
 
-    /** Writes the record over the version that was read; the result is true when it was applied for sure. */
-    void write(Versioned over, SeedRecord next, Consumer<Boolean> then) {
+    /** Writes the record if its version is unchanged; the result is true if the write is known to have been applied. */
+    void write(Versioned read, SeedRecord next, Consumer<Boolean> then) {
         writes++;
-        TimerThread.hear(timers, store.compareAndSet(KEY, over.version(), next.toByteString()), (result, failure) -> {
-            // A write whose answer was lost is not repeated: the next check reads the record and sees whether it holds.
+        TimerThread.hear(timers, store.compareAndSet(KEY, read.version(), next.toByteString()), (result, failure) -> {
+            // A write whose answer was lost is not retried: the next check reads the record and determines whether the
+            // write was applied.
             then.accept(failure == null && result.kind() == WriteResult.Kind.APPLIED);
         });
     }
@@ -76,22 +78,23 @@
             return new Versioned(
                     value.get().version(), SeedRecord.parseFrom(value.get().value()));
         } catch (InvalidProtocolBufferException e) {
-            // Whatever is under the key, new nodes need a record they can read: it is written anew over this version.
-            log.atSevere().withCause(e).log("the value under %s is no seed record and will be replaced", KEY);
+            // New nodes need a readable record, so an invalid value is replaced on the basis of its version.
+            log.atSevere().withCause(e).log("value of key %s is not a valid seed record and will be replaced", KEY);
             return new Versioned(value.get().version(), SeedRecord.getDefaultInstance());
         }
     }
 
     private void noteStore(Throwable failure) {
-        boolean fails = failure != null;
-        if (fails && !down) {
+        boolean failed = failure != null;
+        if (failed && !down) {
             events.record(EventKind.STORE_DOWN, KEY, "the seed record cannot be read; membership goes on without it");
-        } else if (!fails && down) {
+        } else if (!failed && down) {
             events.record(EventKind.STORE_BACK, KEY, "the seed record can be read again");
         }
-        if (fails && !(failure instanceof PlatformException)) {
-            log.atSevere().atMostEvery(1, TimeUnit.MINUTES).withCause(failure).log("reading the seed record failed");
+        if (failed && !(failure instanceof PlatformException)) {
+            log.atSevere().atMostEvery(1, TimeUnit.MINUTES).withCause(failure).log(
+                    "unexpected failure while reading the seed record");
         }
-        down = fails;
+        down = failed;
     }
 }
--- a/src/main/java/io/beryldock/membership/SelfRecord.java
+++ b/src/main/java/io/beryldock/membership/SelfRecord.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * The one record that this node itself may raise: its own.
+ * This node's own record, the only one whose revision and generation this node may raise.
  *
- * <p>Invariant: the record only rises. Two starts of one id are ordered without clocks: the later start fetches the
- * view of others before it joins, hears there of the earlier one, takes a generation above it and names it as
- * superseded. A start that finds itself superseded by name gives way for ever, so two of them never take turns.
- * Control thread only.
+ * <p>Invariant: the record is only ever replaced by a newer one. Two incarnations of one id are ordered without clocks:
+ * the later one fetches the view of other nodes before it joins, finds the record of the earlier one there, takes a
+ * higher generation and names the earlier incarnation as superseded. An incarnation that is named as superseded stays
+ * inactive permanently, so that two incarnations never alternate. Confined to the control thread.
  */
 final class SelfRecord {
 
@@ -27,7 +27,7 @@
     }
 
     static SelfRecord of(NodeDescriptor node, MergeRules rules) {
-        return new SelfRecord(rules, MemberRecord.ofStart(node));
+        return new SelfRecord(rules, MemberRecord.initial(node));
     }
 
     MemberRecord current() {
@@ -38,17 +38,19 @@
         return !record.isJoining();
     }
 
-    /** Takes a generation above all earlier starts that were heard of; to be spread from now on. */
+    /**
+     * Raises the generation above those of all known earlier incarnations; the record can be disseminated from then on.
+     */
     void join() {
         record = earlier.map(record::superseding).orElseGet(record::joined);
     }
 
-    /** Whether a later start of this node's id has taken its place. */
+    /** Whether a later incarnation of this node's id has replaced it. */
     boolean isSuperseded() {
         return superseded;
     }
 
-    /** Changes the announced target; false when it is announced so already. */
+    /** Sets the announced target; returns false if it is unchanged. */
     boolean announce(Optional<AnnouncedTarget> target) {
         if (target.equals(record.target())) {
             return false;
@@ -61,49 +63,53 @@
         record = record.withStatus(MemberStatus.LEFT);
     }
 
-    /** Takes in what others hold of this node; true when the record was raised and has to be spread. */
-    boolean react(MemberRecord found) {
-        if (record.hasLeft() || superseded || !rules.denies()) {
+    /**
+     * Handles a record of this node that another node holds; returns true if the own record was raised and has to be
+     * disseminated.
+     */
+    boolean onReceived(MemberRecord received) {
+        if (record.hasLeft() || superseded || !rules.refutesSuspicion()) {
             return false;
         }
         if (record.isJoining()) {
-            earlier = earlier.filter(known -> !found.isNewerThan(known)).or(() -> Optional.of(found));
+            earlier = earlier.filter(known -> !received.isNewerThan(known)).or(() -> Optional.of(received));
             return false;
         }
-        if (found.isSameStart(record)) {
-            return deny(found);
+        if (received.isSameIncarnation(record)) {
+            return refute(received);
         }
-        if (found.generation() < record.generation()) {
+        if (received.generation() < record.generation()) {
             return false;
         }
-        if (isSupersededBy(found)) {
-            giveWay(found);
+        if (isSupersededBy(received)) {
+            markSuperseded(received);
             return false;
         }
-        record = record.superseding(found);
+        record = record.superseding(received);
         return true;
     }
 
-    private boolean deny(MemberRecord found) {
-        if (!rules.newer().test(found, record)) {
+    private boolean refute(MemberRecord received) {
+        if (!rules.newer().test(received, record)) {
             return false;
         }
-        record = record.aliveAbove(found.revision());
+        record = record.aliveAbove(received.revision());
         return true;
     }
 
-    private boolean isSupersededBy(MemberRecord found) {
-        boolean named = found.superseded() == record.node().incarnation().low();
-        // Two running nodes with one id may name each other at once: then one of them has to stay.
-        return named && (found.generation() > record.generation() || found.hasHigherIncarnation(record));
+    private boolean isSupersededBy(MemberRecord received) {
+        boolean named = received.superseded() == record.node().incarnation().low();
+        // Two running nodes with one id may name each other at the same time; then one of them has to remain active.
+        return named && (received.generation() > record.generation() || received.hasHigherIncarnation(record));
     }
 
-    private void giveWay(MemberRecord later) {
-        // A frozen VM was replaced by one of the same id and then woke, or two nodes were given one id. Without giving
-        // way both would raise their generation for ever and every view would flap between the two.
+    private void markSuperseded(MemberRecord later) {
+        // Either a frozen VM was replaced by one with the same id and has then resumed, or two nodes are configured
+        // with the same id. If neither became inactive, both would raise their generations without end and every view
+        // would alternate between them.
         superseded = true;
         log.atSevere().log(
-                "node %s at %s has taken the id of this node: stop one of the two, or set another id in its settings",
+                "node %s at %s uses the id of this node: stop one of the two or change its id in the settings",
                 later.id(), later.node().peerAddress());
     }
 }
--- a/src/main/java/io/beryldock/membership/TargetRecord.java
+++ b/src/main/java/io/beryldock/membership/TargetRecord.java
@@ -3,11 +3,11 @@
 import io.beryldock.call.ServiceName;
 
 /**
- * A target as its own node announces it to all others. Immutable.
+ * A target as announced by its own node to all others. Immutable.
  *
- * @param node the node in the target's VM; the target is reached through it only
- * @param slots requests that the target can run at once, as it announced
- * @param state what the target said last
- * @param revision rises with each change of the record within the node's incarnation
+ * @param node the node in the VM of the target, through which alone the target is reached
+ * @param slots number of requests that the target can run concurrently, as announced
+ * @param state the state that the target announced last
+ * @param revision increases with each change of the record within an incarnation of the node
  */
 public record TargetRecord(NodeDescriptor node, ServiceName service, int slots, TargetState state, long revision) {}
--- a/src/main/java/io/beryldock/membership/TargetState.java
+++ b/src/main/java/io/beryldock/membership/TargetState.java
@@ -1,10 +1,10 @@
 package io.beryldock.membership;
 
-/** What a target says of itself. */
+/** The state of a target as announced by the target itself. */
 public enum TargetState {
-    /** Announced but not yet ready for work. */
+    /** Announced but not yet ready for requests. */
     STARTING,
     READY,
-    /** Takes no new work; what is in flight finishes. */
+    /** Accepts no new requests; requests in flight are completed. */
     LEAVING
 }
--- a/src/main/java/io/beryldock/membership/package-info.java
+++ b/src/main/java/io/beryldock/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which nodes and targets there are: announcements, the view of the data centre and the directory of all of them. */
+/** Membership of nodes and targets: announcements, gossip, failure detection and the directory of all targets. */
 package io.beryldock.membership;
--- a/src/test/java/io/beryldock/membership/RegistryMembershipTest.java
+++ b/src/test/java/io/beryldock/membership/RegistryMembershipTest.java
@@ -65,11 +65,11 @@
     }
 
     /**
-     * Story: the store is away for minutes and its leases run out; when it is back every node sees all entries gone and
-     * refuses every request until the others have written theirs again. What was known is kept meanwhile.
+     * The store is unreachable until leases expire, so that all entries are missing when it recovers. Guards against
+     * refused requests until every node has written its entry again: known targets must be retained.
      */
     @Test
-    void targetsAreKeptWhileTheirEntriesLapse() {
+    void targetsAreRetainedWhileEntriesLapse() {
         run(Duration.ofSeconds(1));
         secondView.setDown(true);
         registry.lapse();
@@ -77,9 +77,12 @@
         assertThat(targetsAt(first)).isEqualTo(2);
     }
 
-    /** Story: entries that lapsed are missing after the store's return, and new nodes find half of the fleet. */
+    /**
+     * Guards against entries that are missing long after the store has recovered, so that new nodes find only part of
+     * the fleet.
+     */
     @Test
-    void entryIsBackWithinTwoSecondsOfTheStoresReturn() {
+    void entryIsWrittenAgainWithinTwoSecondsOfStoreRecovery() {
         run(Duration.ofSeconds(1));
         firstView.setDown(true);
         secondView.setDown(true);
@@ -93,11 +96,11 @@
     }
 
     /**
-     * Story: the store goes silent for four seconds. A target that was added meanwhile gets no calls from some nodes
-     * for ten seconds after the store's return: their watches wait on connections that answer nothing any more.
+     * The store does not answer for four seconds, and the watches wait on connections that will never answer. Guards
+     * against a target added meanwhile receiving no calls from some nodes until ten seconds after recovery.
      */
     @Test
-    void silentWatchIsReplacedWhenTheStoreAnswersAgain() {
+    void unansweredWatchIsReplacedWhenStoreAnswersAgain() {
         run(Duration.ofSeconds(1));
         firstView.setSilent(true);
         run(Duration.ofSeconds(4));
@@ -109,16 +112,16 @@
     }
 
     @Test
-    void entryOfADeadNodeIsForgottenInTheEnd() {
+    void lapsedEntryOfDeadNodeIsRemovedAfterRetention() {
         run(Duration.ofSeconds(1));
         secondView.setDown(true);
         registry.lapse();
-        run(RegistryMembership.LAPSE_HOLD.plusSeconds(2));
+        run(RegistryMembership.LAPSED_ENTRY_RETENTION.plusSeconds(2));
         assertThat(targetsAt(first)).isEqualTo(1);
     }
 
     @Test
-    void lapsedEntryOfANodeThatDoesNotAnswerIsForgottenAtOnce() {
+    void lapsedEntryOfUnresponsiveNodeIsRemovedImmediately() {
         run(Duration.ofSeconds(1));
         secondView.setDown(true);
         registry.lapse();
@@ -129,16 +132,19 @@
     }
 
     @Test
-    void nodeThatLeavesIsGoneAtOnce() {
+    void leavingNodeIsRemovedWithinASecond() {
         run(Duration.ofSeconds(1));
         second.leave();
         run(Duration.ofSeconds(1));
         assertThat(first.directory().node(NodeId.of("n2"))).isEmpty();
     }
 
-    /** Story: requests for lists reach a VM that now runs orders, since its address was used again. */
+    /**
+     * Guards against requests that reach a VM running another service, because the address of the earlier VM was
+     * reassigned.
+     */
     @Test
-    void addressUsedAgainReplacesTheEarlierNode() {
+    void nodeAtReassignedAddressReplacesEarlierNode() {
         run(Duration.ofSeconds(1));
         secondView.setDown(true);
         membership("n3", 2, registry.view());
@@ -148,11 +154,11 @@
     }
 
     /**
-     * Story: requests for lists find one target less. Another program wrote over the entry of its node, which went on
-     * renewing its lease and never looked at what the entry holds.
+     * Another program overwrites the entry of a node, which continues to renew the lease. Guards against a target that
+     * stays missing because the node does not check the content of its entry.
      */
     @Test
-    void entryThatAnotherProgramWroteOverIsWrittenAgain() {
+    void overwrittenEntryIsWrittenAgain() {
         run(Duration.ofSeconds(1));
         registry.write(RegistryMembership.PREFIX + "n2", ByteString.copyFromUtf8("{\"state\":5}"));
         run(Duration.ofSeconds(1));
@@ -163,13 +169,13 @@
     }
 
     /**
-     * Story: a sound node gets no requests any more. Another program copied its entry to a key of its own, and whoever
-     * read it took the copy for a new node at the same address, in place of the sound one.
+     * Another program copies the entry of a node to a different key. Guards against the copy being taken for a new node
+     * at the same address, which would remove the healthy node from the directory.
      */
     @Test
-    void entryUnderAKeyThatIsNotItsOwnPushesNobodyOut() {
+    void entryUnderForeignKeyDoesNotReplaceHealthyNode() {
         run(Duration.ofSeconds(1));
-        MemberRecord copy = MemberRecord.ofStart(new NodeDescriptor(
+        MemberRecord copy = MemberRecord.initial(new NodeDescriptor(
                 NodeId.of("n2"),
                 new Incarnation(2, 1),
                 DataCentre.of("gent-a"),
@@ -183,16 +189,19 @@
     }
 
     @Test
-    void leavingTargetIsToldToOthers() {
+    void leavingTargetIsKnownToOtherNodes() {
         run(Duration.ofSeconds(1));
         second.announce(LISTS, 8, TargetState.LEAVING);
         run(Duration.ofSeconds(1));
         assertThat(targetsAt(first)).isEqualTo(1);
     }
 
-    /** Guards against a target that nobody finds any more, as the store lost its record and its lease. */
+    /**
+     * The store loses the record and the lease of a node. Guards against a target that stays missing from the
+     * directories.
+     */
     @Test
-    void recordThatTheStoreLostIsWrittenAgainWithinTwoSeconds() {
+    void recordLostByStoreIsWrittenAgainWithinTwoSeconds() {
         FakeRegistry.Copy empty = registry.copy();
         run(Duration.ofSeconds(4));
         registry.comeBackFrom(empty);
@@ -204,9 +213,12 @@
         assertThat(targetsAt(third)).isEqualTo(3);
     }
 
-    /** Guards against orders to a target that leaves: the store came back with its record from before. */
+    /**
+     * The store is restored from a copy that holds a leaving target as ready. Guards against requests to the leaving
+     * target.
+     */
     @Test
-    void leavingThatTheStoreLostIsWrittenAgain() {
+    void leavingStateLostByStoreIsWrittenAgain() {
         run(Duration.ofSeconds(4));
         FakeRegistry.Copy ready = registry.copy();
         second.announce(LISTS, 8, TargetState.LEAVING);
@@ -218,9 +230,9 @@
         assertThat(targetsAt(third)).isEqualTo(2);
     }
 
-    /** Guards against a write of every node when the store comes back, though it lost nothing of them. */
+    /** Guards against a write by every node when the store is restored without any loss of their records. */
     @Test
-    void recordThatTheCopyHoldsIsNotWrittenAgain() {
+    void recordPresentInRestoredStoreIsNotWrittenAgain() {
         run(Duration.ofSeconds(4));
         registry.comeBackFrom(registry.copy());
         StoreRevision before =
@@ -230,9 +242,9 @@
                 .isEqualTo(before);
     }
 
-    /** Guards against requests to a node that has left: the store came back with its record. */
+    /** Guards against requests to a node that has left when the store is restored from a copy with its record. */
     @Test
-    void nodeThatLeftDoesNotComeBackWithTheStoresCopy() {
+    void departedNodeIsNotRestoredWithStoreCopy() {
         run(Duration.ofSeconds(4));
         FakeRegistry.Copy copy = registry.copy();
         second.leave();
@@ -242,9 +254,12 @@
         assertThat(first.directory().node(NodeId.of("n2"))).isEmpty();
     }
 
-    /** Guards against requests to a leaving target until its node has written the record again that the store lost. */
+    /**
+     * The store is restored from a copy that holds a leaving target as ready. Guards against requests to the target
+     * until its node has written the current record again.
+     */
     @Test
-    void olderRecordOfTheSameStartReplacesNone() {
+    void olderRecordOfSameIncarnationReplacesNoRecord() {
         run(Duration.ofSeconds(4));
         FakeRegistry.Copy copy = registry.copy();
         second.announce(LISTS, 8, TargetState.LEAVING);
@@ -255,9 +270,12 @@
         assertThat(targetsAt(first)).isEqualTo(1);
     }
 
-    /** Guards against a sound node that is pushed out by an earlier one at its address, whose record came back. */
+    /**
+     * Guards against a healthy node being removed from the directory because the restored store holds the record of an
+     * earlier node at the same address.
+     */
     @Test
-    void nodeAtAnAddressUsedAgainStaysWhenTheStoreLosesItsRecord() {
+    void nodeAtReassignedAddressIsKeptWhenStoreLosesItsRecord() {
         run(Duration.ofSeconds(4));
         secondView.setDown(true);
         FakeRegistry.Copy copy = registry.copy();
