--- a/src/main/java/io/beryldock/membership/RecordMerger.java
+++ b/src/main/java/io/beryldock/membership/RecordMerger.java
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Creates the intake.
+     * Creates the merger.
      *
      * @param forwardsRecords returns false while the node fetches the whole view for the first time, when all records
      *     it receives are already known to other nodes
--- a/src/test/java/io/beryldock/membership/MembershipFailureTest.java
+++ b/src/test/java/io/beryldock/membership/MembershipFailureTest.java
@@ -14,33 +14,33 @@
 final class MembershipFailureTest {
 
     private static final Duration SUSPECTED_WITHIN = Duration.ofSeconds(6);
-    private static final Duration GONE_WITHIN = Duration.ofSeconds(12);
-    private static final Duration HEALED_WITHIN = Duration.ofSeconds(20);
+    private static final Duration REMOVED_WITHIN = Duration.ofSeconds(12);
+    private static final Duration RECOVERED_WITHIN = Duration.ofSeconds(20);
 
     private final List<EventKind> events = new ArrayList<>();
     private MembershipFleet fleet = fleet(1, List.of(MembershipFleet.address(0, 0), MembershipFleet.address(1, 0)));
 
     /**
-     * Students open a list; one of the nodes behind it dies with its VM, and its connections just fall silent. Calls
-     * sent there wait for nothing until nobody chooses it any more. Cause: no one says that a dead VM is dead.
+     * A VM dies together with its node, and its connections time out without being closed. Guards against calls being
+     * sent to the dead node indefinitely, because no notification of its death exists.
      */
     @Test
-    void silentNodeIsSuspectedThenGone() {
+    void unresponsiveNodeIsSuspectedThenRemoved() {
         start(2, 5);
         FleetNode lost = node(0, 3);
         fleet.kill(lost);
         assertEventually(
                 SUSPECTED_WITHIN, other -> !isLocal(other, lost) || sees(other, lost) != Reachability.REACHABLE);
-        assertEventually(GONE_WITHIN, other -> !shows(other, lost));
+        assertEventually(REMOVED_WITHIN, other -> !shows(other, lost));
     }
 
     /**
-     * A VM is stopped for half a minute by its host and wakes. Meanwhile others took it for failed; it heard nobody for
-     * as long and holds an old view. If it believed its own silence it would accuse all its neighbours and withdraw its
-     * target, and lists served there would be gone although all is well.
+     * A VM is paused for 30 s and resumes with a stale view, while the other nodes have marked it as failed. Guards
+     * against a resumed node that attributes the missing messages to its neighbours, suspects them and withdraws its
+     * own target.
      */
     @Test
-    void pausedNodeComesBackAndAccusesNobody() {
+    void resumedNodeRejoinsAndSuspectsNoOtherNode() {
         start(2, 5);
         FleetNode paused = node(0, 2);
         fleet.pause(paused);
@@ -55,48 +55,49 @@
     }
 
     /**
-     * The lines of one data centre are cut for a minute. Its callers and those of the others go on with the targets on
-     * their own side; the targets of the other side stay known but marked, and are used again when the lines are back.
-     * Were they taken for lost, all would have to be learned anew at once.
+     * The network to one data centre fails for a short time. Guards against the targets of the other side being
+     * discarded: they must remain known, marked as unreachable, and be used again after the network has recovered.
      */
     @Test
-    void dataCentreThatIsCutOffIsKeptAndComesBack() {
+    void disconnectedDataCentreIsKeptAndBecomesReachableAgain() {
         start(3, 5);
         fleet.network().block((from, to) -> isIn(from, "dc0") != isIn(to, "dc0"));
         assertEventually(
                 Duration.ofSeconds(15),
                 other -> fleet.nodes().stream()
-                        .allMatch(far -> shows(other, far) && (isSameSide(other, far) == isReached(other, far))));
+                        .allMatch(remote ->
+                                shows(other, remote) && (isSameSide(other, remote) == isReached(other, remote))));
         fleet.network().block((from, to) -> false);
-        assertEventually(HEALED_WITHIN, this::seesAll);
+        assertEventually(RECOVERED_WITHIN, this::seesAll);
         assertThat(events).doesNotContain(EventKind.MEMBER_FAILED);
     }
 
     /**
-     * A switch fails and half of a data centre no longer reaches the other half. Either half, if it took the other one
-     * for dead, would serve with half of the targets although callers may reach all. So the missing are kept, marked.
+     * A switch fails, so that half of a data centre cannot reach the other half. Guards against each half marking the
+     * other as failed and serving with half of the targets, although callers may reach all of them.
      */
     @Test
-    void massLossIsTakenForAPartition() {
+    void massLossIsTreatedAsPartition() {
         start(1, 8);
         fleet.network().block((from, to) -> isOdd(from) != isOdd(to));
         fleet.advance(Duration.ofSeconds(30));
         assertThat(events).contains(EventKind.PARTITION_SUSPECTED).doesNotContain(EventKind.MEMBER_FAILED);
         assertThat(fleet.running())
                 .allMatch(other -> fleet.nodes().stream()
-                        .allMatch(far -> shows(other, far)
-                                && isReached(other, far) == (isOdd(other.descriptor()) == isOdd(far.descriptor()))));
+                        .allMatch(remote -> shows(other, remote)
+                                && isReached(other, remote)
+                                        == (isOdd(other.descriptor()) == isOdd(remote.descriptor()))));
         fleet.network().block((from, to) -> false);
-        assertEventually(HEALED_WITHIN, this::seesAll);
+        assertEventually(RECOVERED_WITHIN, this::seesAll);
     }
 
     /**
-     * As above, but both halves still reach another data centre. Each node is silent to some and alive to others.
-     * Were it suspected and freed again with each probe, every view would change all the time, and messages would
-     * fill the lines.
+     * A switch fails as above, but both halves still reach another data centre, so each node answers some nodes and not
+     * others. Guards against repeated suspicions and refutations, which would change every view continuously and flood
+     * the network with messages.
      */
     @Test
-    void partialCutNeitherTakesNodesOutNorFillsTheLines() {
+    void partialPartitionNeitherRemovesNodesNorFloodsNetwork() {
         start(2, 8);
         fleet.network().block((from, to) -> isIn(from, "dc0") && isIn(to, "dc0") && isOdd(from) != isOdd(to));
         fleet.advance(Duration.ofSeconds(30));
@@ -105,28 +106,29 @@
         assertThat(events).contains(EventKind.MEMBER_SUSPECTED).doesNotContain(EventKind.MEMBER_FAILED);
         assertThat((messagesSent() - before) / 120.0 / fleet.running().size()).isLessThan(20);
         fleet.network().block((from, to) -> false);
-        assertEventually(HEALED_WITHIN, this::seesAll);
+        assertEventually(RECOVERED_WITHIN, this::seesAll);
     }
 
     /**
-     * A rack loses power: a quarter of a data centre is gone at the same moment, observers of one another among them.
-     * Callers must soon be sent to the rest only, in every data centre.
+     * A rack loses power, so that a quarter of a data centre fails at once, including nodes that observe each other.
+     * Guards against failed nodes remaining in the directories of any data centre.
      */
     @Test
-    void rackFailureIsNoticedEverywhere() {
+    void rackFailureIsDetectedInEveryDataCentre() {
         start(2, 12);
         List<FleetNode> rack = List.of(node(0, 1), node(0, 4), node(0, 7));
         rack.forEach(fleet::kill);
         assertEventually(Duration.ofSeconds(25), other -> rack.stream().noneMatch(lost -> shows(other, lost)));
-        assertEventually(HEALED_WITHIN, this::seesAll);
+        assertEventually(RECOVERED_WITHIN, this::seesAll);
     }
 
     /**
-     * All VMs of a data centre are restarted while the platform store is down and only one seed of the settings lives,
-     * in the other data centre. They must find each other all the same, and none may call the store in a row.
+     * All VMs of a data centre are restarted while the platform store is unreachable and only one seed of the settings
+     * is running, in the other data centre. Guards against nodes that need the store to find each other or that call it
+     * without back-off.
      */
     @Test
-    void storeDownAtStartDoesNotMatter() {
+    void nodesFindEachOtherWhenStoreIsDownAtStart() {
         fleet.store().setFaults(fleet.store().faults().withDown(true));
         start(2, 4);
         for (int number = 0; number < 4; number++) {
@@ -137,11 +139,11 @@
     }
 
     /**
-     * Every seed of the settings has been replaced by VMs with other addresses. A new node asks them in vain; it reads
-     * the seed record, which lists living nodes, and joins.
+     * All seeds of the settings have been replaced by VMs with other addresses. Guards against a new node that cannot
+     * join: it must find live nodes by the seed record.
      */
     @Test
-    void newNodeFindsOthersByTheSeedRecord() {
+    void newNodeJoinsBySeedRecordWhenAllSeedsAreReplaced() {
         start(2, 4);
         fleet.advance(Duration.ofMinutes(2));
         fleet.kill(node(0, 0));
@@ -152,11 +154,11 @@
     }
 
     /**
-     * Three nodes start with no seeds at all, at the same time. Each is alone at first; the seed record brings them
-     * together.
+     * Three nodes start at the same time without any seeds in the settings. Guards against nodes that remain isolated:
+     * they must find each other by the seed record.
      */
     @Test
-    void nodesWithoutSeedsMeetByTheSeedRecord() {
+    void nodesWithoutSeedsFindEachOtherBySeedRecord() {
         fleet = fleet(2, List.of());
         for (int number = 0; number < 3; number++) {
             fleet.start(0, number);
@@ -165,11 +167,11 @@
     }
 
     /**
-     * A VM is replaced by one of the same id at the same address, within a second. Callers must be sent to the new
-     * start, and what it has not run must not be looked for there: the old start is gone for good.
+     * A VM is replaced within one second by another one with the same id and address. Guards against requests, or
+     * queries about requests in flight, being sent to the old incarnation.
      */
     @Test
-    void replacedVmTakesTheIdOver() {
+    void replacementVmTakesOverId() {
         start(2, 5);
         FleetNode old = node(0, 3);
         fleet.kill(old);
@@ -179,11 +181,11 @@
     }
 
     /**
-     * A frozen VM was replaced by one of its id at another address and then wakes. Were it to claim its id back,
-     * callers would be sent to one and the other in turn. It gives way and says what to do.
+     * A frozen VM is replaced by one with the same id at another address and then resumes. Guards against both claiming
+     * the id, which would send callers to each of them in turn: the frozen node must become inactive.
      */
     @Test
-    void frozenNodeThatWasReplacedGivesWay() {
+    void replacedFrozenNodeBecomesSupersededAfterResume() {
         start(2, 5);
         FleetNode frozen = node(0, 3);
         fleet.pause(frozen);
@@ -197,17 +199,18 @@
     }
 
     /**
-     * The messages to one node are lost while its own arrive. To it all others seem dead. If it accused them callers
-     * would lose every target of that data centre for a while, because of one bad VM.
+     * All messages to one node are lost while its own messages arrive, so that all other nodes appear unresponsive to
+     * it. Guards against one such node making callers lose every target of its data centre.
      */
     @Test
-    void deafNodeDoesNotTakeOthersOut() {
+    void nodeThatReceivesNothingDoesNotRemoveOtherNodes() {
         start(2, 8);
-        FleetNode deaf = node(0, 5);
-        fleet.network().block((from, to) -> to.equals(deaf.descriptor()));
+        FleetNode affected = node(0, 5);
+        fleet.network().block((from, to) -> to.equals(affected.descriptor()));
         for (int second = 0; second < 40; second++) {
             fleet.advance(Duration.ofSeconds(1));
-            assertThat(others(deaf)).allMatch(other -> others(deaf).stream().allMatch(far -> shows(other, far)));
+            assertThat(others(affected))
+                    .allMatch(other -> others(affected).stream().allMatch(remote -> shows(other, remote)));
         }
     }
 
@@ -248,7 +251,7 @@
         return fleet.running().stream().filter(other -> other != node).toList();
     }
 
-    /** Whether the node shows exactly the running nodes as reachable, each with its target. */
+    /** Whether the directory of the node contains exactly the running nodes, all reachable and with their targets. */
     private boolean seesAll(FleetNode node) {
         Directory directory = node.service().directory();
         return fleet.running().stream()
--- a/src/test/java/io/beryldock/membership/MembershipRunTest.java
+++ b/src/test/java/io/beryldock/membership/MembershipRunTest.java
@@ -12,7 +12,7 @@
 
     private static final long FIRST_SEED = 1;
     private static final long SEEDS = 150;
-    private static final long SEEDS_OF_BROKEN = 20;
+    private static final long SEEDS_FOR_BROKEN_RULES = 20;
 
     @Test
     void invariantsHoldThroughRandomFaults() {
@@ -20,30 +20,33 @@
     }
 
     /**
-     * A node is paused for some seconds and its data centre takes it for failed. It wakes, but does not deny. Its
-     * target answers, yet no caller is sent there any more. Runs must notice that a running node stays away.
+     * With this rule a node that was marked as failed during a pause does not refute this after it resumes, so that its
+     * target receives no more requests. The runs must report that a running node is missing from the directories.
      */
     @Test
-    void aNodeThatDoesNotDenyIsNoticed() {
+    void missingRefutationIsDetected() {
         MergeRules broken = new MergeRules(MemberRecord::isNewerThan, false);
-        assertThat(violations(SEEDS_OF_BROKEN, withRules(broken))).isNotEmpty();
+        assertThat(violations(SEEDS_FOR_BROKEN_RULES, withRules(broken))).isNotEmpty();
     }
 
     /**
-     * A VM is replaced by one of the same id. A message of the old start, held up somewhere, arrives later and is taken
-     * for news: the dead start is back and calls are sent to it. Runs must notice it.
+     * With this rule the record received last wins. A delayed message of a replaced incarnation then restores the dead
+     * incarnation, and calls are sent to it. The runs must report this.
      */
     @Test
-    void aRuleThatTakesTheLastRecordIsNoticed() {
+    void ruleThatKeepsLastReceivedRecordIsDetected() {
         MergeRules broken = new MergeRules((found, held) -> !found.equals(held), true);
-        assertThat(violations(SEEDS_OF_BROKEN, withRules(broken))).isNotEmpty();
+        assertThat(violations(SEEDS_FOR_BROKEN_RULES, withRules(broken))).isNotEmpty();
     }
 
-    /** As above, with a rule that looks at revisions only: the long-lived old start has the higher one. */
+    /**
+     * With this rule only revisions are compared. The record of a replaced incarnation that ran for a long time has the
+     * higher revision and therefore wins. The runs must report this.
+     */
     @Test
-    void aRuleThatForgetsStartsIsNoticed() {
+    void ruleThatIgnoresIncarnationsIsDetected() {
         MergeRules broken = new MergeRules((found, held) -> found.revision() > held.revision(), true);
-        assertThat(violations(SEEDS_OF_BROKEN, withRules(broken))).isNotEmpty();
+        assertThat(violations(SEEDS_FOR_BROKEN_RULES, withRules(broken))).isNotEmpty();
     }
 
     private static ServiceFactory withRules(MergeRules rules) {
--- a/src/test/java/io/beryldock/membership/MembershipServiceTest.java
+++ b/src/test/java/io/beryldock/membership/MembershipServiceTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void nodesFromOneSeedSeeEachOthersTargets() {
+    void nodesWithOneSeedKnowEachOthersTargets() {
         assertThat(fleet.running())
                 .allMatch(node ->
                         node.service().directory().targetsOf(node.target()).size() == 12);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void leaveCompletesOnceAllHaveHeard() {
+    void leaveCompletesAfterAllNodesReceivedIt() {
         FleetNode leaving = fleet.running().get(7);
         CompletableFuture<Void> left = fleet.leave(leaving);
         fleet.advance(Duration.ofSeconds(1));
@@ -55,11 +55,11 @@
     }
 
     /**
-     * A target's process hangs, its VM and node run on. Calls sent there time out. The target renews its announcement
-     * no more, so its node takes it back, and nobody is sent there.
+     * The process of a target hangs while its VM and node keep running, so that calls to it time out. Guards against
+     * the target staying in the directory: without renewed announcements its node must withdraw it.
      */
     @Test
-    void targetThatDoesNotRenewIsWithdrawn() {
+    void targetWithoutRenewalIsWithdrawn() {
         FleetNode hung = fleet.running().get(3);
         fleet.hangTarget(hung);
         fleet.advance(MembershipSettings.of(List.of()).targetExpiry().plus(Duration.ofSeconds(3)));
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void hintedNodeIsSuspectedSooner() {
+    void nodeReportedUnreachableByTrafficIsSuspectedSooner() {
         FleetNode lost = fleet.running().get(4);
         FleetNode hinting = fleet.running().get(6);
         fleet.kill(lost);
@@ -86,7 +86,7 @@
         long reads = fleet.store().counts().reads();
         long writes = fleet.store().counts().writes();
         fleet.advance(Duration.ofMinutes(30));
-        // Two data centres look at the seed record about every 5 minutes each.
+        // In each of the two data centres, one node reads the seed record about every 5 minutes.
         assertThat(fleet.store().counts().reads() - reads).isLessThan(30);
         assertThat(fleet.store().counts().writes()).isEqualTo(writes);
     }
