--- a/src/main/java/io/beryldock/httpclient/PlainHttpClientOptions.java
+++ b/src/main/java/io/beryldock/httpclient/PlainHttpClientOptions.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * Limits of one HTTP client. Immutable.
+ * Limits and timeouts of an HTTP client. Immutable.
  *
- * @param connectionWait longest wait for a free connection of the pool
- * @param connectTimeout longest time to make a connection
- * @param answerTimeout longest silence of the server before the exchange fails
- * @param validateAfter idle time after which a pooled connection is checked before it is used
+ * @param connectionWait longest wait for a free connection from the pool
+ * @param connectTimeout longest time to establish a connection
+ * @param answerTimeout longest time without received bytes before the exchange fails
+ * @param validateAfter idle time after which a pooled connection is validated before use
  */
 public record PlainHttpClientOptions(
         int ioThreads,
@@ -19,20 +19,20 @@
         Duration answerTimeout,
         Duration validateAfter) {
 
-    private static final Duration DEFAULT_CONNECT = Duration.ofSeconds(1);
-    private static final Duration DEFAULT_ANSWER = Duration.ofSeconds(30);
-    private static final Duration DEFAULT_VALIDATE = Duration.ofMillis(100);
+    private static final Duration DEFAULT_CONNECT_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration DEFAULT_ANSWER_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration DEFAULT_VALIDATE_AFTER = Duration.ofMillis(100);
 
-    /** Usual limits of time with this number of threads and connections. */
+    /** Returns options with the default timeouts and the given numbers of threads and connections. */
     public static PlainHttpClientOptions of(int ioThreads, int maxConnectionsPerRoute, int maxConnections) {
         return new PlainHttpClientOptions(
                 ioThreads,
                 maxConnectionsPerRoute,
                 maxConnections,
-                DEFAULT_CONNECT,
-                DEFAULT_CONNECT,
-                DEFAULT_ANSWER,
-                DEFAULT_VALIDATE);
+                DEFAULT_CONNECT_TIMEOUT,
+                DEFAULT_CONNECT_TIMEOUT,
+                DEFAULT_ANSWER_TIMEOUT,
+                DEFAULT_VALIDATE_AFTER);
     }
 
     public PlainHttpClientOptions withConnectionWait(Duration wait) {
--- a/src/main/java/io/beryldock/httpclient/PlainHttpClients.java
+++ b/src/main/java/io/beryldock/httpclient/PlainHttpClients.java
@@ -16,10 +16,10 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * Makes asynchronous HTTP/1.1 clients without retries, redirects, cookies, authentication state or decompression.
+ * Creates asynchronous HTTP/1.1 clients without retries, redirects, cookies, authentication state or decompression.
  *
- * <p>A library's silent resend on a stale pooled connection would be a second run of the request, a shared cookie store
- * another caller's answer; so all of that is off. Stateless.
+ * <p>If the library silently resent a request after a stale pooled connection failed, the request could run twice, and
+ * with a shared cookie store a caller could receive another caller's answer. Stateless.
  */
 public final class PlainHttpClients {
 
@@ -46,11 +46,11 @@
         return client;
     }
 
-    /** Closing a client ends its reactor threads in the midst of their work; that is no error. */
+    /** Logs a failed reactor thread, unless the client is closing: this interrupts reactor threads and is no error. */
     private static void reactorFailed(CloseableHttpAsyncClient client, Exception failure) {
         IOReactorStatus status = client.getStatus();
         if (status != IOReactorStatus.SHUTTING_DOWN && status != IOReactorStatus.SHUT_DOWN) {
-            log.atSevere().withCause(failure).log("a reactor thread of an HTTP client failed");
+            log.atSevere().withCause(failure).log("reactor thread of HTTP client failed");
         }
     }
 
--- a/src/main/java/io/beryldock/httpclient/package-info.java
+++ b/src/main/java/io/beryldock/httpclient/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP clients that send each request at most once and change nothing on the way. */
+/** HTTP clients that send each request at most once and don't alter requests or responses. */
 package io.beryldock.httpclient;
