--- a/src/main/java/io/beryldock/http/AnnounceResource.java
+++ b/src/main/java/io/beryldock/http/AnnounceResource.java
@@ -16,7 +16,7 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Takes the announcements of the target in the node's own VM, on the loopback listener only.
+ * Accepts announcements of the target in the node's own VM, on the loopback listener only.
  *
  * <p>Thread safe.
  */
--- a/src/main/java/io/beryldock/http/BeryldockHeaders.java
+++ b/src/main/java/io/beryldock/http/BeryldockHeaders.java
@@ -1,24 +1,24 @@
 package io.beryldock.http;
 
-/** Names of the headers that the system adds or reads. */
+/** Names of the HTTP headers that the system sets or reads. */
 public final class BeryldockHeaders {
 
-    /** What became of the request: ANSWERED, NOT_RUN or UNKNOWN. */
+    /** Outcome of the request: ANSWERED, NOT_RUN or UNKNOWN. */
     public static final String OUTCOME = "Beryldock-Outcome";
 
-    /** Id of the root request, for {@code why}. */
+    /** Id of the root request, as the operators' command {@code why} takes it. */
     public static final String REQUEST = "Beryldock-Request";
 
-    /** A ticket that the caller took for a non-idempotent request. */
+    /** Ticket that the caller obtained for a non-idempotent request. */
     public static final String TICKET = "Beryldock-Ticket";
 
-    /** The caller's own key for a non-idempotent request. */
+    /** Idempotency key that the caller chose for a non-idempotent request. */
     public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-    /** A target's statement that it refused the request before running it: value {@link #NOT_RUN}. */
+    /** Set by a target to {@link #NOT_RUN} if it refused the request without running it. */
     public static final String REFUSED = "Beryldock-Refused";
 
-    /** The one value of {@link #REFUSED}. */
+    /** The only value of {@link #REFUSED}. */
     public static final String NOT_RUN = "not-run";
 
     private BeryldockHeaders() {}
--- a/src/main/java/io/beryldock/http/CallerIdentifier.java
+++ b/src/main/java/io/beryldock/http/CallerIdentifier.java
@@ -7,9 +7,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Tells callers apart by a hash of their credential headers, or of their address when they send none.
+ * Identifies a caller by a hash of its credential headers, or of its address if it sends no credentials.
  *
- * <p>Stateless. The hash is equal at every node, and credentials are kept nowhere else.
+ * <p>Stateless. All nodes compute the same hash, and credentials are stored in no other form.
  */
 final class CallerIdentifier {
 
--- a/src/main/java/io/beryldock/http/ConnectedTargetLives.java
+++ b/src/main/java/io/beryldock/http/ConnectedTargetLives.java
@@ -12,20 +12,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells the lives of the target apart by one connection that is kept to it, see {@link ConnectedLife}.
+ * Distinguishes successive processes of the target by an idle connection to it, see {@link IdleTargetConnection}.
  *
- * <p>Guards against a crash that nobody sees: a supervisor can start the target again before a probe looks, which then
- * finds a target that listens. Thread safe. Invariant: at most one connection is kept, none after {@link #close()}.
+ * <p>Guards against undetected crashes: a supervisor can restart the target before a probe connects, and the probe then
+ * finds a listening target. Thread safe. Invariant: at most one connection is open, and none after {@link #close()}.
  */
 public final class ConnectedTargetLives implements TargetLives, AutoCloseable {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
-    private static final int LOG_SECONDS = 10;
+    private static final int LOG_INTERVAL_SECONDS = 10;
 
     private final TargetProbe probe;
 
     @GuardedBy("this")
-    private Optional<ConnectedLife> kept = Optional.empty();
+    private Optional<IdleTargetConnection> connection = Optional.empty();
 
     @GuardedBy("this")
     private boolean closed;
@@ -40,42 +40,44 @@
 
     @Override
     public synchronized TargetLife current(InetSocketAddress target) {
-        boolean usable =
-                kept.filter(life -> life.isOf(target) && isUsable(life)).isPresent();
+        boolean usable = connection
+                .filter(existing -> existing.isConnectionTo(target) && isUsable(existing))
+                .isPresent();
         if (!usable) {
-            kept.ifPresent(ConnectedLife::close);
-            kept = closed ? Optional.empty() : connect(target);
+            connection.ifPresent(IdleTargetConnection::close);
+            connection = closed ? Optional.empty() : connect(target);
         }
-        return kept.filter(ConnectedLife::isEstablished)
-                .<TargetLife>map(life -> life)
-                .orElseGet(() -> unwatched(target));
+        return connection
+                .filter(IdleTargetConnection::isEstablished)
+                .<TargetLife>map(established -> established)
+                .orElseGet(() -> unmonitored(target));
     }
 
-    private static boolean isUsable(ConnectedLife life) {
-        return life.isEstablished() && life.isOpen();
+    private static boolean isUsable(IdleTargetConnection existing) {
+        return existing.isEstablished() && existing.isOpen();
     }
 
-    private Optional<ConnectedLife> connect(InetSocketAddress target) {
+    private Optional<IdleTargetConnection> connect(InetSocketAddress target) {
         try {
-            return Optional.of(ConnectedLife.connect(target, probe));
+            return Optional.of(IdleTargetConnection.connect(target, probe));
         } catch (IOException e) {
-            log.atWarning().atMostEvery(LOG_SECONDS, TimeUnit.SECONDS).withCause(e).log(
-                    "no connection to the target at %s is kept: crashes after which it listens again at once are not"
-                            + " seen; check its address and the node's limit of open files",
+            log.atWarning().atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).withCause(e).log(
+                    "idle connection to target at %s could not be opened: a crash followed by an immediate restart is"
+                            + " not detected; check the target's address and the node's limit of open files",
                     target);
             return Optional.empty();
         }
     }
 
-    /** A life of which only a refused connection tells that it has ended. */
-    private TargetLife unwatched(InetSocketAddress target) {
+    /** Returns a process without an idle connection to it: only a refused probe shows that the process has ended. */
+    private TargetLife unmonitored(InetSocketAddress target) {
         return lostAtNanos -> probe.listens(target).thenApply(up -> up ? LifeSign.UNKNOWN : LifeSign.ENDED);
     }
 
     @Override
     public synchronized void close() {
         closed = true;
-        kept.ifPresent(ConnectedLife::close);
-        kept = Optional.empty();
+        connection.ifPresent(IdleTargetConnection::close);
+        connection = Optional.empty();
     }
 }
--- a/src/main/java/io/beryldock/http/ForwardResource.java
+++ b/src/main/java/io/beryldock/http/ForwardResource.java
@@ -28,11 +28,12 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Takes every request on the callers' and the loopback listener and answers it when its result is there.
+ * Accepts all requests on the callers' and the loopback listener and answers each asynchronously when its result is
+ * available.
  *
- * <p>Thread safe. Which listener took it is told by the local port, so that a caller can't pass for a target. Answers
- * are written on the responder's threads: writing blocks while a caller reads slowly, which must hold up neither the
- * control thread nor the threads that talk to peers and the target.
+ * <p>Thread safe. The local port determines the origin of a request, so that a caller can't impersonate a target.
+ * Responses are written on the responder's threads: a write blocks while a caller reads slowly, and must block neither
+ * the control thread nor the I/O threads for peers and the target.
  */
 @Path("/{path: .*}")
 public final class ForwardResource {
@@ -111,21 +112,21 @@
                             scope.close();
                             if (failure != null) {
                                 log.atSevere().withCause(failure).log(
-                                        "the handling of %s %s failed", request.method(), request.path());
+                                        "handling of request %s %s failed", request.method(), request.path());
                             }
-                            end(response, Optional.ofNullable(outcome));
+                            complete(response, Optional.ofNullable(outcome));
                         },
                         responder);
     }
 
-    /** Ends the exchange whatever fails: nobody else would, and its caller would wait for ever. */
-    private static void end(AsyncResponse response, Optional<RequestOutcome> outcome) {
+    /** Completes the response even if writing the result fails; otherwise the caller would wait indefinitely. */
+    private static void complete(AsyncResponse response, Optional<RequestOutcome> outcome) {
         try {
             CallResult result = outcome.map(RequestOutcome::result).orElse(CallResult.unknown(Reason.INTERNAL, ""));
-            String id = outcome.map(ended -> ended.root().toString()).orElse("");
+            String id = outcome.map(handled -> handled.root().toString()).orElse("");
             response.resume(ResultWriter.write(result, id));
         } catch (RuntimeException | Error e) {
-            log.atSevere().withCause(e).log("the result of a request could not be written: %s", outcome);
+            log.atSevere().withCause(e).log("writing the response failed; result: %s", outcome);
             response.resume(Response.serverError()
                     .header(BeryldockHeaders.OUTCOME, Outcome.UNKNOWN.name())
                     .build());
--- a/src/main/java/io/beryldock/http/HangupConnectorFactory.java
+++ b/src/main/java/io/beryldock/http/HangupConnectorFactory.java
@@ -12,7 +12,7 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.eclipse.jetty.util.thread.ThreadPool;
 
-/** Makes listeners whose connections notice a caller's hang-up. Not thread safe, as its parent. */
+/** Builds connectors whose connections detect that the caller hangs up. Not thread safe, like its superclass. */
 final class HangupConnectorFactory extends HttpConnectorFactory {
 
     @Override
@@ -38,7 +38,7 @@
         return connector;
     }
 
-    /** A listener with hang-up detection. */
+    /** Connector that creates a {@link HangupEndPoint} for each accepted connection. */
     private static final class HangupConnector extends ServerConnector {
 
         HangupConnector(
--- a/src/main/java/io/beryldock/http/HangupDetector.java
+++ b/src/main/java/io/beryldock/http/HangupDetector.java
@@ -6,21 +6,22 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * Tells when a caller closes its connection while its request is under way.
+ * Detects that a caller closes its connection while its request is being processed.
  *
- * <p>Guards against work for callers that are gone: the server reads nothing between a request and its answer, so it
- * would see the end of the stream only after the answer. {@link HangupEndPoint} watches for it. Stateless.
+ * <p>Guards against work for disconnected callers: Jetty does not read from a connection between a request and its
+ * response, so without {@link HangupEndPoint} the server would see the end of the stream only after the response.
+ * Stateless.
  */
 final class HangupDetector {
 
     private HangupDetector() {}
 
-    /** Runs the task once when the connection of the request is closed by its caller. */
+    /** Runs the task once if the caller closes the connection of the request before {@link #unwatch}. */
     static void watch(HttpServletRequest request, Runnable task) {
         endPoint(request).ifPresent(endPoint -> endPoint.watch(task));
     }
 
-    /** The request has its answer: hang-ups no longer matter. */
+    /** Stops watching the connection of the request, once the result of the request is known. */
     static void unwatch(HttpServletRequest request) {
         endPoint(request).ifPresent(HangupEndPoint::unwatch);
     }
--- a/src/main/java/io/beryldock/http/HangupEndPoint.java
+++ b/src/main/java/io/beryldock/http/HangupEndPoint.java
@@ -17,34 +17,35 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A caller's connection that is read on while its request is under way, to notice its end.
+ * A caller's connection that is also read while a request is being processed, to detect that the caller closes it.
  *
- * <p>Invariants: at most one interest in reading is registered with the selector, our relay or the connection's own
- * callback; bytes that were read early (a pipelined request) reach the connection first, in order. Thread safe.
+ * <p>Invariants: at most one read interest is registered with the selector, either that of the monitor callback or that
+ * of the HTTP connection; bytes that were read ahead (a pipelined request) are passed to the HTTP connection before all
+ * later bytes, in order. Thread safe.
  */
 public final class HangupEndPoint extends SocketChannelEndPoint {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
-    private static final int LOG_SECONDS = 1;
-    private static final int EARLY_BYTES = 4096;
+    private static final int LOG_INTERVAL_SECONDS = 1;
+    private static final int READ_AHEAD_BYTES = 4096;
 
     private final Executor executor;
-    private final Callback relay = Callback.from(this::onReadable, this::onReadFailure);
+    private final Callback monitorCallback = Callback.from(this::onReadable, this::onReadFailure);
 
     @GuardedBy("this")
     private Runnable hangupTask;
 
     @GuardedBy("this")
-    private boolean relayRegistered;
+    private boolean monitorRegistered;
 
     @GuardedBy("this")
-    private Callback waiting;
+    private Callback pendingCallback;
 
     @GuardedBy("this")
-    private ByteBuffer early = BufferUtil.EMPTY_BUFFER;
+    private ByteBuffer readAheadBuffer = BufferUtil.EMPTY_BUFFER;
 
     @GuardedBy("this")
-    private boolean ended;
+    private boolean inputClosed;
 
     public HangupEndPoint(
             SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler, Executor executor) {
@@ -52,14 +53,14 @@
         this.executor = executor;
     }
 
-    /** Runs the task when the other end closes the connection before {@link #unwatch()}. */
+    /** Starts to watch the connection; runs the task if the caller closes it before {@link #unwatch()}. */
     public void watch(Runnable task) {
         synchronized (this) {
             hangupTask = task;
-            if (relayRegistered || ended) {
+            if (monitorRegistered || inputClosed) {
                 return;
             }
-            relayRegistered = super.tryFillInterested(relay);
+            monitorRegistered = super.tryFillInterested(monitorCallback);
         }
     }
 
@@ -77,14 +78,14 @@
     @Override
     public boolean tryFillInterested(Callback callback) {
         synchronized (this) {
-            if (relayRegistered) {
-                if (waiting != null) {
+            if (monitorRegistered) {
+                if (pendingCallback != null) {
                     return false;
                 }
-                waiting = callback;
+                pendingCallback = callback;
                 return true;
             }
-            if (!ended && early.remaining() == 0) {
+            if (!inputClosed && readAheadBuffer.remaining() == 0) {
                 return super.tryFillInterested(callback);
             }
         }
@@ -94,35 +95,38 @@
 
     @Override
     public synchronized boolean isFillInterested() {
-        return relayRegistered ? waiting != null : super.isFillInterested();
+        return monitorRegistered ? pendingCallback != null : super.isFillInterested();
     }
 
     @Override
     public int fill(ByteBuffer buffer) throws IOException {
         synchronized (this) {
-            if (early.remaining() > 0) {
-                return BufferUtil.append(buffer, early);
+            if (readAheadBuffer.remaining() > 0) {
+                return BufferUtil.append(buffer, readAheadBuffer);
             }
-            if (ended) {
+            if (inputClosed) {
                 return -1;
             }
         }
         return super.fill(buffer);
     }
 
-    /** A caller who sent a request and reads the end of the connection can't tell why; the node can. */
+    /**
+     * Logs a warning if the node closes the connection before it has answered a request. The caller sees only the end
+     * of the stream and not its cause.
+     */
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
         boolean unanswered;
         int unread;
         synchronized (this) {
-            unread = early.remaining();
-            unanswered = !ended && (hangupTask != null || unread > 0);
+            unread = readAheadBuffer.remaining();
+            unanswered = !inputClosed && (hangupTask != null || unread > 0);
         }
         if (unanswered) {
-            log.atWarning().atMostEvery(LOG_SECONDS, TimeUnit.SECONDS).withCause(cause).log(
-                    "the node closed the connection of %s before it answered; unread bytes: %s",
+            log.atWarning().atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).withCause(cause).log(
+                    "closed connection of %s before its request was answered; unread bytes: %s",
                     getRemoteSocketAddress(), unread);
         }
     }
@@ -131,11 +135,11 @@
         Callback next;
         Runnable hangup = null;
         synchronized (this) {
-            relayRegistered = false;
-            next = waiting;
-            waiting = null;
+            monitorRegistered = false;
+            next = pendingCallback;
+            pendingCallback = null;
             if (next == null) {
-                hangup = readEarly();
+                hangup = readAhead();
             }
         }
         if (next != null) {
@@ -147,36 +151,36 @@
     }
 
     @GuardedBy("this")
-    private Runnable readEarly() {
-        ByteBuffer buffer = BufferUtil.allocate(EARLY_BYTES);
+    private Runnable readAhead() {
+        ByteBuffer buffer = BufferUtil.allocate(READ_AHEAD_BYTES);
         int count;
         try {
             count = super.fill(buffer);
         } catch (IOException e) {
-            log.atFine().withCause(e).log("the connection of %s can't be read", getRemoteSocketAddress());
+            log.atFine().withCause(e).log("reading from connection of %s failed", getRemoteSocketAddress());
             count = -1;
         }
         if (count > 0) {
-            early = buffer;
+            readAheadBuffer = buffer;
             return null;
         }
         if (count == 0) {
-            relayRegistered = super.tryFillInterested(relay);
+            monitorRegistered = super.tryFillInterested(monitorCallback);
             return null;
         }
-        ended = true;
-        return takeTask();
+        inputClosed = true;
+        return takeHangupTask();
     }
 
     private void onReadFailure(Throwable failure) {
         Callback next;
         Runnable hangup = null;
         synchronized (this) {
-            relayRegistered = false;
-            next = waiting;
-            waiting = null;
+            monitorRegistered = false;
+            next = pendingCallback;
+            pendingCallback = null;
             if (next == null && !(failure instanceof TimeoutException)) {
-                hangup = takeTask();
+                hangup = takeHangupTask();
             }
         }
         if (next != null) {
@@ -188,7 +192,7 @@
     }
 
     @GuardedBy("this")
-    private Runnable takeTask() {
+    private Runnable takeHangupTask() {
         Runnable task = hangupTask;
         hangupTask = null;
         return task;
--- a/src/main/java/io/beryldock/http/HeaderFilter.java
+++ b/src/main/java/io/beryldock/http/HeaderFilter.java
@@ -8,14 +8,15 @@
 import java.util.stream.Collectors;
 
 /**
- * Removes the headers that belong to one connection, and those of our own.
+ * Removes hop-by-hop headers and the system's own {@code Beryldock-*} headers.
  *
- * <p>A caller that sets {@code Beryldock-*} itself could raise its own priority or take another's allowance: they are
- * dropped at the callers' listener, and ours are added only after. Stateless.
+ * <p>A caller that sets {@code Beryldock-*} headers could raise its own priority or use the allowance of another
+ * caller. Therefore they are removed from each incoming request, and the node adds its own headers only afterwards.
+ * Stateless.
  */
 public final class HeaderFilter {
 
-    private static final String OWN_PREFIX = "beryldock-";
+    private static final String BERYLDOCK_PREFIX = "beryldock-";
     private static final String CONNECTION = "connection";
     private static final ImmutableList<String> HOP_BY_HOP = ImmutableList.of(
             CONNECTION,
@@ -32,42 +33,42 @@
 
     private HeaderFilter() {}
 
-    /** The end-to-end headers that are not our own. */
+    /** Returns the end-to-end headers without {@code Host} and {@code Beryldock-*}. */
     static Headers endToEnd(Headers headers) {
         return withoutHopByHop(headers).without(name -> {
             String lower = name.toLowerCase(Locale.ROOT);
-            return lower.startsWith(OWN_PREFIX) || lower.equals("host");
+            return lower.startsWith(BERYLDOCK_PREFIX) || lower.equals("host");
         });
     }
 
-    /** The headers that do not concern one connection only. */
+    /** Returns the headers that are not limited to a single connection. */
     public static Headers withoutHopByHop(Headers headers) {
         ImmutableList<String> connection = headers.all(CONNECTION);
         if (connection.isEmpty()) {
             return headers.without(HeaderFilter::isHopByHop);
         }
-        Set<String> named = namedBy(connection);
-        return headers.without(name -> isHopByHop(name) || named.contains(name.toLowerCase(Locale.ROOT)));
+        Set<String> options = connectionOptions(connection);
+        return headers.without(name -> isHopByHop(name) || options.contains(name.toLowerCase(Locale.ROOT)));
     }
 
-    /** Compares without making a copy of the name in lower case: it is asked for each header of each request. */
+    /** Compares without a lower-case copy of the name, because it runs for each header of each request. */
     private static boolean isHopByHop(String name) {
-        for (String known : HOP_BY_HOP) {
-            if (known.equalsIgnoreCase(name)) {
+        for (String hopByHop : HOP_BY_HOP) {
+            if (hopByHop.equalsIgnoreCase(name)) {
                 return true;
             }
         }
         return false;
     }
 
-    private static Set<String> namedBy(ImmutableList<String> connection) {
+    private static Set<String> connectionOptions(ImmutableList<String> connection) {
         return connection.stream()
                 .flatMap(value -> Arrays.stream(value.split(",", -1)))
                 .map(name -> name.trim().toLowerCase(Locale.ROOT))
                 .collect(Collectors.toSet());
     }
 
-    /** Sum of the lengths of names and values. */
+    /** Returns the total length of all header names and values. */
     static int size(Headers headers) {
         return headers.list().stream()
                 .mapToInt(header -> header.name().length() + header.value().length())
--- a/src/main/java/io/beryldock/http/HttpClients.java
+++ b/src/main/java/io/beryldock/http/HttpClients.java
@@ -9,30 +9,31 @@
 import org.apache.hc.core5.util.TimeValue;
 import org.apache.hc.core5.util.Timeout;
 
-/** Makes the asynchronous clients towards targets with every automatism off. Stateless. */
+/** Creates asynchronous HTTP clients for targets, without retries, redirects, cookies or cached state. Stateless. */
 public final class HttpClients {
 
     private static final Timeout CONNECT_TIMEOUT = Timeout.ofSeconds(1);
 
     /**
-     * Idle connections are dropped after this time.
+     * Idle time after which a pooled connection is closed.
      *
-     * <p>Guards against the target's closing an idle connection while the next request is written on it: that request
-     * would end UNKNOWN though it did not run, typically the first order after a quiet minute. Servers keep idle
-     * connections for seconds at least, so one that was used within the last second is still good.
+     * <p>Guards against a target that closes an idle connection while the next request is written to it: that request
+     * would end as UNKNOWN although it did not run. Typically this is the first request after a minute without traffic.
+     * Servers keep idle connections for several seconds at least, so a connection that was used within the last second
+     * is still open.
      */
-    private static final TimeValue LONGEST_IDLE = TimeValue.ofSeconds(1);
+    private static final TimeValue IDLE_TIMEOUT = TimeValue.ofSeconds(1);
 
     private HttpClients() {}
 
-    /** Starts a client with at most that many connections to one target. */
+    /** Starts a client with at most the given number of connections to one target; the caller closes it. */
     public static CloseableHttpAsyncClient start(int connections, int ioThreads) {
         AsyncClientConnectionManager connectionManager = PoolingAsyncClientConnectionManagerBuilder.create()
                 .setMaxConnPerRoute(connections)
                 .setMaxConnTotal(connections)
                 .setDefaultConnectionConfig(ConnectionConfig.custom()
                         .setConnectTimeout(CONNECT_TIMEOUT)
-                        .setValidateAfterInactivity(LONGEST_IDLE)
+                        .setValidateAfterInactivity(IDLE_TIMEOUT)
                         .build())
                 .build();
         CloseableHttpAsyncClient client = HttpAsyncClients.custom()
@@ -41,7 +42,7 @@
                         .setIoThreadCount(ioThreads)
                         .setTcpNoDelay(true)
                         .build())
-                .evictIdleConnections(LONGEST_IDLE)
+                .evictIdleConnections(IDLE_TIMEOUT)
                 .disableAutomaticRetries()
                 .disableRedirectHandling()
                 .disableCookieManagement()
--- a/src/main/java/io/beryldock/http/HttpPorts.java
+++ b/src/main/java/io/beryldock/http/HttpPorts.java
@@ -11,9 +11,12 @@
 import java.util.function.Supplier;
 
 /**
- * What the HTTP listeners call in the node. Immutable; every part is thread safe.
+ * Handlers of the node to which the HTTP listeners pass requests. Immutable; all components are thread safe.
  *
- * @param tickets mints a ticket, empty when the node holds as many as it may
+ * @param requests handles the requests of callers and of the target
+ * @param announcements accepts the announcements of the target
+ * @param tickets issues a ticket; empty if the node already holds its maximum number of tickets
+ * @param health health check of the node
  * @param adminServlets servlets of the admin listener by path
  */
 public record HttpPorts(
--- a/src/main/java/io/beryldock/http/HttpTargetClient.java
+++ b/src/main/java/io/beryldock/http/HttpTargetClient.java
@@ -28,15 +28,16 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * Sends calls to the target by HTTP, each exactly once.
+ * Sends calls to the target over HTTP, without ever resending a call.
  *
- * <p>Thread safe. Automatic retries, redirects, cookies, authentication state and decompression are off: a library's
- * silent resend on a stale pooled connection would be a second run, a shared cookie store another caller's answer.
+ * <p>Thread safe. Automatic retries, redirects, cookies, authentication state and decompression are disabled: if the
+ * library silently resent a request after a stale pooled connection failed, the request could run twice, and with a
+ * shared cookie store a caller could receive another caller's answer.
  */
 public final class HttpTargetClient implements TargetClient {
 
-    private static final Timeout CONNECT_WAIT = Timeout.ofSeconds(1);
-    private static final Timeout LONGEST_EXCHANGE = Timeout.ofSeconds(60);
+    private static final Timeout CONNECTION_REQUEST_TIMEOUT = Timeout.ofSeconds(1);
+    private static final Timeout KEYED_CALL_TIMEOUT = Timeout.ofSeconds(60);
 
     private final CloseableHttpAsyncClient client;
     private final Supplier<InetSocketAddress> target;
@@ -46,7 +47,7 @@
         this.target = target;
     }
 
-    /** A client of the target whose address the supplier gives, as the target announced it. */
+    /** Creates a client that sends each call to the address that the supplier returns, as announced by the target. */
     public static HttpTargetClient create(CloseableHttpAsyncClient client, Supplier<InetSocketAddress> target) {
         return new HttpTargetClient(client, target);
     }
@@ -72,8 +73,8 @@
             request.setBody(call.body().toByteArray(), contentType(call.headers()));
         }
         request.setConfig(RequestConfig.custom()
-                .setConnectionRequestTimeout(CONNECT_WAIT)
-                .setResponseTimeout(longestExchange(call))
+                .setConnectionRequestTimeout(CONNECTION_REQUEST_TIMEOUT)
+                .setResponseTimeout(responseTimeout(call))
                 .setRedirectsEnabled(false)
                 .setAuthenticationEnabled(false)
                 .build());
@@ -81,15 +82,15 @@
     }
 
     /**
-     * How long the exchange may stay without a byte.
+     * Returns the longest time without received bytes before the exchange is given up.
      *
-     * <p>Guards against connections that have gone silent for good: each would hold a slot and wait in the pool for the
-     * next request. They show as exchanges long past their call's time. A keyed call is waited for longer, as its late
-     * answer still settles what is unknown.
+     * <p>Guards against connections that stay silent permanently: each of them would occupy a slot and stay in the pool
+     * for the next request. The symptom is an exchange that lasts far beyond the deadline of its call. A call with an
+     * idempotency key or ticket has a longer timeout, because a late answer still resolves its unknown outcome.
      */
-    private static Timeout longestExchange(Call call) {
+    private static Timeout responseTimeout(Call call) {
         if (call.key().isPresent()) {
-            return LONGEST_EXCHANGE;
+            return KEYED_CALL_TIMEOUT;
         }
         long millis = TimeUnit.NANOSECONDS.toMillis(call.context().remainingNanos());
         return Timeout.ofMilliseconds(millis + LATE.toMillis());
@@ -118,9 +119,10 @@
     }
 
     /**
-     * Tells a request that never left from one that may have run.
+     * Maps a failure to a reply that distinguishes a request that was not sent from a request that may have run.
      *
-     * <p>Only failures before a connection was leased prove that no byte was sent; everything else may have run.
+     * <p>Only a failure before a connection was leased proves that no byte was sent. After any other failure the
+     * request may have run.
      */
     private static TargetReply classify(Exception e) {
         boolean neverSent = e instanceof HttpHostConnectException
@@ -134,7 +136,7 @@
         return e instanceof SocketTimeoutException ? TargetReply.givenUp(detail) : TargetReply.lost(detail);
     }
 
-    /** Completes the reply from the client's callback. */
+    /** Completes the reply when the HTTP client reports the end of the exchange. */
     private record ReplyCallback(CompletableFuture<TargetReply> reply) implements FutureCallback<SimpleHttpResponse> {
 
         @Override
--- a/src/main/java/io/beryldock/http/IdleTargetConnection.java
+++ b/src/main/java/io/beryldock/http/IdleTargetConnection.java
@@ -12,19 +12,22 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A life of the target that is known by a connection to it, on which nothing is sent.
+ * Detects the end of a target's process by the end of an idle TCP connection to it, on which no request is sent.
  *
- * <p>A process can listen at an address only after the one before has closed its listener, and with its end all its
- * connections are closed. So once a new connection was accepted, or refused, the kept one tells by its end whether the
- * process that accepted it has ended. Thread safe.
+ * <p>A process can listen on an address only after the previous process has closed its listener, and the operating
+ * system closes all connections of a process that ends. Therefore, once a new connection to the address was accepted or
+ * refused, the state of the idle connection shows whether the process that accepted it has ended. Thread safe.
  */
-final class ConnectedLife implements TargetLife, AutoCloseable {
+final class IdleTargetConnection implements TargetLife, AutoCloseable {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int SCRATCH_BYTES = 512;
 
-    /** Unasked bytes that are read in one look, as a server may send an answer before it closes an idle connection. */
-    private static final int MAX_READS = 16;
+    /**
+     * Limit of reads per check. Unsolicited bytes must be read to find the end of the stream behind them, because a
+     * server may send a response before it closes an idle connection.
+     */
+    private static final int MAX_READS_PER_CHECK = 16;
 
     private final SocketChannel channel;
     private final InetSocketAddress target;
@@ -33,27 +36,27 @@
     @GuardedBy("this")
     private final ByteBuffer scratch = ByteBuffer.allocate(SCRATCH_BYTES);
 
-    private ConnectedLife(SocketChannel channel, InetSocketAddress target, TargetProbe probe) {
+    private IdleTargetConnection(SocketChannel channel, InetSocketAddress target, TargetProbe probe) {
         this.channel = channel;
         this.target = target;
         this.probe = probe;
     }
 
-    /** Begins to connect without waiting for the connection. */
-    static ConnectedLife connect(InetSocketAddress target, TargetProbe probe) throws IOException {
+    /** Starts to connect without waiting until the connection is established. */
+    static IdleTargetConnection connect(InetSocketAddress target, TargetProbe probe) throws IOException {
         SocketChannel channel = SocketChannel.open();
-        ConnectedLife life = new ConnectedLife(channel, target, probe);
+        IdleTargetConnection connection = new IdleTargetConnection(channel, target, probe);
         try {
             channel.configureBlocking(false);
             channel.connect(target);
-            return life;
+            return connection;
         } catch (IOException | RuntimeException e) {
-            life.close();
-            throw e instanceof IOException failed ? failed : new IOException("no connection to " + target, e);
+            connection.close();
+            throw e instanceof IOException failed ? failed : new IOException("cannot connect to target " + target, e);
         }
     }
 
-    boolean isOf(InetSocketAddress address) {
+    boolean isConnectionTo(InetSocketAddress address) {
         return target.equals(address);
     }
 
@@ -62,22 +65,22 @@
         try {
             return channel.finishConnect();
         } catch (IOException e) {
-            log.atFine().withCause(e).log("the target at %s accepts no connection", target);
+            log.atFine().withCause(e).log("connection to target at %s failed", target);
             return false;
         }
     }
 
-    /** Whether neither end has closed the connection. */
+    /** Whether neither the node nor the target has closed the connection. Discards unsolicited bytes. */
     synchronized boolean isOpen() {
         try {
             int count = 1;
-            for (int i = 0; i < MAX_READS && count > 0; i++) {
+            for (int i = 0; i < MAX_READS_PER_CHECK && count > 0; i++) {
                 scratch.clear();
                 count = channel.read(scratch);
             }
             return count >= 0;
         } catch (IOException e) {
-            log.atFine().withCause(e).log("the connection kept to the target at %s has ended", target);
+            log.atFine().withCause(e).log("reading from idle connection to target at %s failed", target);
             return false;
         }
     }
@@ -92,7 +95,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            log.atFine().withCause(e).log("the connection kept to the target at %s could not be closed", target);
+            log.atFine().withCause(e).log("closing idle connection to target at %s failed", target);
         }
     }
 }
--- a/src/main/java/io/beryldock/http/NodeHttpServer.java
+++ b/src/main/java/io/beryldock/http/NodeHttpServer.java
@@ -20,9 +20,9 @@
 import org.eclipse.jetty.server.ServerConnector;
 
 /**
- * The HTTP listeners of a node: callers, loopback and admin, by Jersey on Dropwizard.
+ * Runs the HTTP listeners of a node for callers, loopback and admin with Dropwizard and Jersey.
  *
- * <p>Started once and closed once; thread safe after the start.
+ * <p>An instance is started once and closed once; it is thread safe after the start.
  */
 public final class NodeHttpServer implements AutoCloseable {
 
@@ -40,13 +40,13 @@
         this.connectors = connectors;
     }
 
-    /** Binds the listeners and serves; fails when an address is taken. */
-    public static NodeHttpServer start(NodeSettings settings, HttpPorts ports) throws ServerStartException {
+    /** Binds and starts the listeners; fails if an address is in use. */
+    public static NodeHttpServer start(NodeSettings settings, HttpPorts handlers) throws ServerStartException {
         Environment environment = environment(settings);
-        PortSlot callersPort = new PortSlot();
+        PortHolder callersPort = new PortHolder();
         Responder responder = new Responder();
-        registerResources(environment, settings, ports, callersPort, responder);
-        ports.adminServlets().forEach((path, servlet) -> addServlet(environment, path, servlet));
+        registerResources(environment, settings, handlers, callersPort, responder);
+        handlers.adminServlets().forEach((path, servlet) -> addServlet(environment, path, servlet));
         Server server = factory(settings).build(environment);
         responder.set(server.getThreadPool());
         try {
@@ -73,15 +73,19 @@
     }
 
     private static void registerResources(
-            Environment environment, NodeSettings settings, HttpPorts ports, PortSlot callersPort, Executor responder) {
+            Environment environment,
+            NodeSettings settings,
+            HttpPorts handlers,
+            PortHolder callersPort,
+            Executor responder) {
         RequestReader reader = new RequestReader(
                 settings.limits().maxBodyBytes(), settings.limits().maxHeaderBytes(), new CallerIdentifier());
         environment
                 .jersey()
-                .register(new ForwardResource(ports.requests(), reader, request -> callersPort.get(), responder));
-        environment.jersey().register(new AnnounceResource(ports.announcements(), request -> callersPort.get()));
-        environment.jersey().register(new TicketResource(ports.tickets(), responder));
-        environment.healthChecks().register("node", ports.health());
+                .register(new ForwardResource(handlers.requests(), reader, request -> callersPort.get(), responder));
+        environment.jersey().register(new AnnounceResource(handlers.announcements(), request -> callersPort.get()));
+        environment.jersey().register(new TicketResource(handlers.tickets(), responder));
+        environment.healthChecks().register("node", handlers.health());
     }
 
     private static void addServlet(Environment environment, String path, Servlet servlet) {
@@ -102,7 +106,7 @@
         factory.setMaxThreads(MAX_THREADS);
         factory.setMinThreads(MIN_THREADS);
         factory.setDetailedJsonProcessingExceptionMapper(false);
-        // The target's answer is passed on as it is; compressing it again would change what the caller asked for.
+        // The target's answer is forwarded unchanged; compression would alter the representation the caller requested.
         factory.getGzipFilterFactory().setEnabled(false);
         LogbackAccessRequestLogFactory requestLog = new LogbackAccessRequestLogFactory();
         requestLog.setAppenders(List.of());
@@ -132,37 +136,37 @@
     }
 
     private InetSocketAddress address(int connector) {
-        ServerConnector found = connectors.get(connector);
-        return new InetSocketAddress(found.getHost(), found.getLocalPort());
+        ServerConnector serverConnector = connectors.get(connector);
+        return new InetSocketAddress(serverConnector.getHost(), serverConnector.getLocalPort());
     }
 
-    /** Closes at once: a planned stop has waited for what is in flight before. */
+    /** Closes the listeners without a grace period; a planned stop waits for the requests in flight beforehand. */
     @Override
     public void close() {
         server.setStopTimeout(0);
         try {
             server.stop();
         } catch (Exception e) {
-            throw new IllegalStateException("the HTTP listeners can't be stopped", e);
+            throw new IllegalStateException("stopping the HTTP listeners failed", e);
         }
     }
 
-    /** Hands the writing of answers to the server's threads, known once it is built. Thread safe. */
+    /** Writes responses on the server's thread pool, which is set once the server is built. Thread safe. */
     private static final class Responder implements Executor {
-        private volatile Executor threads = Runnable::run;
+        private volatile Executor delegate = Runnable::run;
 
-        void set(Executor pool) {
-            threads = pool;
+        void set(Executor newDelegate) {
+            delegate = newDelegate;
         }
 
         @Override
         public void execute(Runnable task) {
-            threads.execute(task);
+            delegate.execute(task);
         }
     }
 
-    /** The callers' port, known once the listeners are bound. Thread safe. */
-    private static final class PortSlot {
+    /** Holds the port of the callers' listener, or -1 until the listeners are bound. Thread safe. */
+    private static final class PortHolder {
         private volatile int port = -1;
 
         void set(int value) {
--- a/src/main/java/io/beryldock/http/OperatorAccess.java
+++ b/src/main/java/io/beryldock/http/OperatorAccess.java
@@ -9,14 +9,14 @@
 import java.util.Optional;
 
 /**
- * Who may use the operators' endpoint: whoever shows the token of the file that the settings name.
+ * Authorizes requests to the operators' endpoint by the bearer token from the file set as {@code admin.tokenFile}.
  *
- * <p>Immutable, thread safe. Without a token file nobody may.
+ * <p>Immutable, thread safe. Without a token file all requests are denied.
  */
 public final class OperatorAccess {
 
     private static final String SCHEME = "Bearer ";
-    private static final int SHORTEST_TOKEN = 16;
+    private static final int MIN_TOKEN_LENGTH = 16;
 
     private final Optional<byte[]> token;
 
@@ -24,17 +24,17 @@
         this.token = token;
     }
 
-    /** Reads the token file. */
+    /** Reads the token from the file, if one is set; fails if the file is unreadable or the token too short. */
     public static OperatorAccess of(Optional<String> tokenFile) throws SettingsException {
         if (tokenFile.isEmpty()) {
             return new OperatorAccess(Optional.empty());
         }
         try {
             String token = Files.readString(Path.of(tokenFile.get())).strip();
-            if (token.length() < SHORTEST_TOKEN) {
+            if (token.length() < MIN_TOKEN_LENGTH) {
                 throw new SettingsException(
                         "admin.tokenFile",
-                        "a token of at least " + SHORTEST_TOKEN + " characters",
+                        "a token of at least " + MIN_TOKEN_LENGTH + " characters",
                         "write a longer one");
             }
             return new OperatorAccess(Optional.of(token.getBytes(StandardCharsets.UTF_8)));
@@ -43,12 +43,12 @@
         }
     }
 
-    /** Whether the header {@code Authorization} holds the token; compared in constant time. */
+    /** Whether the value of the {@code Authorization} header contains the token; compares in constant time. */
     boolean allows(String authorization) {
         if (token.isEmpty() || authorization == null || !authorization.startsWith(SCHEME)) {
             return false;
         }
-        byte[] shown = authorization.substring(SCHEME.length()).getBytes(StandardCharsets.UTF_8);
-        return MessageDigest.isEqual(token.get(), shown);
+        byte[] presented = authorization.substring(SCHEME.length()).getBytes(StandardCharsets.UTF_8);
+        return MessageDigest.isEqual(token.get(), presented);
     }
 }
--- a/src/main/java/io/beryldock/http/OperatorServlet.java
+++ b/src/main/java/io/beryldock/http/OperatorServlet.java
@@ -13,17 +13,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** Takes operators' statements as the body of a POST and answers with JSON. Thread safe. */
+/** Executes an operator's statement from the body of a POST request and responds with JSON. Thread safe. */
 public final class OperatorServlet extends HttpServlet {
 
-    /** Where it stands on the admin listener. */
+    /** Path of the servlet on the admin listener. */
     public static final String PATH = "/operator/query";
 
     private static final long serialVersionUID = 1L;
     private static final ObjectMapper MAPPER = Jackson.newObjectMapper();
     private static final int MAX_STATEMENT_BYTES = 4096;
 
-    /** Longer than a change may take: to be written by the store, and to be in force everywhere. */
+    /** Exceeds the longest time that a change may take to be written to the store and applied by all nodes. */
     private static final long TIMEOUT_MILLIS = 60_000;
 
     private static final String OPERATOR = "Beryldock-Operator";
@@ -49,16 +49,16 @@
         async.setTimeout(TIMEOUT_MILLIS);
         operators
                 .handle(operator, new String(body, StandardCharsets.UTF_8))
-                .whenComplete((answer, failure) -> write(async, response, answer));
+                .whenComplete((result, failure) -> write(async, response, result));
     }
 
-    private static void write(AsyncContext async, HttpServletResponse response, OperatorResponse answer) {
+    private static void write(AsyncContext async, HttpServletResponse response, OperatorResponse result) {
         try {
-            response.setStatus(answer.status().httpStatus());
+            response.setStatus(result.status().httpStatus());
             response.setContentType("application/json");
-            response.getOutputStream().write(MAPPER.writeValueAsBytes(answer));
+            response.getOutputStream().write(MAPPER.writeValueAsBytes(result));
         } catch (IOException e) {
-            throw new UncheckedIOException("the operator went away", e);
+            throw new UncheckedIOException("writing the response to the operator failed", e);
         } finally {
             async.complete();
         }
--- a/src/main/java/io/beryldock/http/RequestException.java
+++ b/src/main/java/io/beryldock/http/RequestException.java
@@ -2,7 +2,7 @@
 
 import io.beryldock.call.Reason;
 
-/** A request that is refused before anything ran. */
+/** Thrown when a request is refused while it is read, before any part of it has run. */
 final class RequestException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/io/beryldock/http/RequestReader.java
+++ b/src/main/java/io/beryldock/http/RequestReader.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Reads a request from a listener within the limits of body and headers. Immutable, thread safe. */
+/** Reads a request from a listener and enforces the size limits of its body and headers. Immutable, thread safe. */
 final class RequestReader {
 
     private static final int MAX_KEY_LENGTH = 200;
@@ -81,16 +81,16 @@
     private static Optional<RequestKey> key(Headers headers) throws RequestException {
         Optional<String> ticket = headers.first(BeryldockHeaders.TICKET);
         if (ticket.isPresent()) {
-            return Optional.of(new RequestKey(RequestKey.Kind.TICKET, checked(ticket.get())));
+            return Optional.of(new RequestKey(RequestKey.Kind.TICKET, validated(ticket.get())));
         }
         Optional<String> key = headers.first(BeryldockHeaders.IDEMPOTENCY_KEY);
         if (key.isPresent()) {
-            return Optional.of(new RequestKey(RequestKey.Kind.CALLER_KEY, checked(key.get())));
+            return Optional.of(new RequestKey(RequestKey.Kind.CALLER_KEY, validated(key.get())));
         }
         return Optional.empty();
     }
 
-    private static String checked(String key) throws RequestException {
+    private static String validated(String key) throws RequestException {
         if (key.isBlank() || key.length() > MAX_KEY_LENGTH) {
             throw new RequestException(Reason.BAD_REQUEST, "a key has 1 to " + MAX_KEY_LENGTH + " characters");
         }
--- a/src/main/java/io/beryldock/http/ResultWriter.java
+++ b/src/main/java/io/beryldock/http/ResultWriter.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 
 /**
- * Turns a result into the HTTP response: the target's answer, or problem+json with the reason and the remedy.
+ * Converts the result of a call to an HTTP response: the target's answer, or problem+json with the reason and remedy.
  *
- * <p>Stateless, thread safe. The outcome is in a header either way.
+ * <p>Stateless, thread safe. Both kinds of response have the outcome in a header.
  */
 final class ResultWriter {
 
@@ -65,7 +65,7 @@
         try {
             return MAPPER.writeValueAsBytes(fields);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a map of texts and numbers is always JSON", e);
+            throw new IllegalStateException("serializing the problem details to JSON failed", e);
         }
     }
 
--- a/src/main/java/io/beryldock/http/ServerStartException.java
+++ b/src/main/java/io/beryldock/http/ServerStartException.java
@@ -1,6 +1,6 @@
 package io.beryldock.http;
 
-/** The HTTP listeners can't be started; the message names the remedy. */
+/** Thrown when the HTTP listeners can't be started; the message names the remedy. */
 public final class ServerStartException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/io/beryldock/http/TcpTargetProbe.java
+++ b/src/main/java/io/beryldock/http/TcpTargetProbe.java
@@ -8,7 +8,7 @@
 import java.nio.channels.CompletionHandler;
 import java.util.concurrent.CompletableFuture;
 
-/** Makes a connection to the target and closes it at once. Stateless, thread safe. */
+/** Checks whether a target listens by opening a TCP connection and closing it at once. Stateless, thread safe. */
 public final class TcpTargetProbe implements TargetProbe {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
@@ -20,7 +20,7 @@
             AsynchronousSocketChannel channel = AsynchronousSocketChannel.open();
             channel.connect(target, listens, new ConnectHandler(channel));
         } catch (IOException | RuntimeException e) {
-            log.atWarning().withCause(e).log("no connection to the target at %s could be tried", target);
+            log.atWarning().withCause(e).log("starting a probe connection to target at %s failed", target);
             listens.complete(false);
         }
         return listens;
@@ -31,7 +31,7 @@
             implements CompletionHandler<Void, CompletableFuture<Boolean>> {
 
         @Override
-        public void completed(Void nothing, CompletableFuture<Boolean> listens) {
+        public void completed(Void unused, CompletableFuture<Boolean> listens) {
             close();
             listens.complete(true);
         }
@@ -46,7 +46,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                log.atFine().withCause(e).log("the connection of a probe could not be closed");
+                log.atFine().withCause(e).log("closing a probe connection failed");
             }
         }
     }
--- a/src/main/java/io/beryldock/http/TicketResource.java
+++ b/src/main/java/io/beryldock/http/TicketResource.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
 
-/** Mints tickets for non-idempotent requests. Thread safe. */
+/** Issues tickets for non-idempotent requests over HTTP. Thread safe. */
 @Path("/beryldock/tickets")
 @Produces(MediaType.APPLICATION_JSON)
 public final class TicketResource {
--- a/src/main/java/io/beryldock/http/package-info.java
+++ b/src/main/java/io/beryldock/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP towards callers, the target and operators: Jersey resources, the server and the client to the target. */
+/** HTTP interface to callers, the target and operators: Jersey resources, the server and the target's client. */
 package io.beryldock.http;
