--- a/src/test/java/io/beryldock/http/ConnectedTargetLivesTest.java
+++ b/src/test/java/io/beryldock/http/ConnectedTargetLivesTest.java
@@ -18,14 +18,14 @@
 
 class ConnectedTargetLivesTest {
 
-    private final ConnectedTargetLives lives = ConnectedTargetLives.create(new TcpTargetProbe());
+    private final ConnectedTargetLives monitor = ConnectedTargetLives.create(new TcpTargetProbe());
     private final List<Socket> accepted = new ArrayList<>();
     private ServerSocket listener;
 
     @AfterEach
     void close() throws IOException {
-        lives.close();
-        end();
+        monitor.close();
+        endProcess();
     }
 
     private InetSocketAddress listen(int port) throws IOException {
@@ -35,89 +35,92 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    /** Ends as a process does: the listener and all connections are closed. */
-    private void end() throws IOException {
+    /** Simulates the end of the target's process: closes the listener and all accepted connections. */
+    private void endProcess() throws IOException {
         listener.close();
         for (Socket socket : accepted) {
             socket.close();
         }
     }
 
-    private static LifeSign look(TargetLife life) {
-        return life.look(0).join();
+    private static LifeSign check(TargetLife process) {
+        return process.look(0).join();
     }
 
     @Test
-    void aTargetThatListensOnGoesOn() throws IOException {
+    void reportsGoesOnWhileTheTargetKeepsListening() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife life = lives.current(target);
+        TargetLife process = monitor.current(target);
         accepted.add(listener.accept());
-        assertThat(look(life)).isEqualTo(LifeSign.GOES_ON);
-        assertThat(lives.current(target)).isSameAs(life);
+        assertThat(check(process)).isEqualTo(LifeSign.GOES_ON);
+        assertThat(monitor.current(target)).isSameAs(process);
     }
 
     @Test
-    void aTargetThatRefusesConnectionsHasEnded() throws IOException {
+    void reportsEndedIfTheTargetRefusesConnections() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife life = lives.current(target);
+        TargetLife process = monitor.current(target);
         accepted.add(listener.accept());
-        end();
-        assertThat(look(life)).isEqualTo(LifeSign.ENDED);
+        endProcess();
+        assertThat(check(process)).isEqualTo(LifeSign.ENDED);
     }
 
-    /** Guards against a crash that nobody sees: the target listens again before anybody looks. */
+    /** Guards against an undetected crash: the target is restarted and listens again before the check. */
     @Test
-    void aTargetThatWasStartedAgainAtOnceHasEnded() throws IOException {
+    void reportsEndedIfTheTargetWasRestartedImmediately() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife life = lives.current(target);
+        TargetLife process = monitor.current(target);
         accepted.add(listener.accept());
-        end();
+        endProcess();
         listen(target.getPort());
-        assertThat(look(life)).isEqualTo(LifeSign.ENDED);
-        TargetLife next = lives.current(target);
-        assertThat(next).isNotSameAs(life);
-        assertThat(look(next)).isEqualTo(LifeSign.GOES_ON);
+        assertThat(check(process)).isEqualTo(LifeSign.ENDED);
+        TargetLife current = monitor.current(target);
+        assertThat(current).isNotSameAs(process);
+        assertThat(check(current)).isEqualTo(LifeSign.GOES_ON);
     }
 
-    /** Guards against the same where the process ends before it accepted the connection. */
+    /** Guards against an undetected crash of a process that ends before it accepts the idle connection. */
     @Test
-    void aTargetThatNeverAcceptedTheConnectionHasEndedToo() throws IOException {
+    void reportsEndedIfTheConnectionWasNeverAcceptedBeforeTheRestart() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife life = lives.current(target);
-        end();
+        TargetLife process = monitor.current(target);
+        endProcess();
         listen(target.getPort());
-        assertThat(look(life)).isEqualTo(LifeSign.ENDED);
+        assertThat(check(process)).isEqualTo(LifeSign.ENDED);
     }
 
-    /** Guards against innocent suspects: a target may close a connection that is idle for long, saying so or not. */
+    /**
+     * Guards against requests that are wrongly suspected of a crash: a target may close a connection that was idle for
+     * long, with or without sending a response before.
+     */
     @Test
-    void anIdleConnectionThatTheTargetClosesIsMadeAnew() throws IOException {
+    void reconnectsIfTheTargetClosesTheIdleConnection() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife life = lives.current(target);
+        TargetLife process = monitor.current(target);
         Socket idle = listener.accept();
         idle.getOutputStream().write("HTTP/1.1 408 Request Timeout\r\n\r\n".getBytes(UTF_8));
         idle.close();
-        TargetLife next = lives.current(target);
-        assertThat(next).isNotSameAs(life);
-        assertThat(look(next)).isEqualTo(LifeSign.GOES_ON);
+        TargetLife current = monitor.current(target);
+        assertThat(current).isNotSameAs(process);
+        assertThat(check(current)).isEqualTo(LifeSign.GOES_ON);
     }
 
-    /** Guards against an end that is told of a target which could not be watched from the start of the exchange. */
+    /** Guards against a false report of an end if no connection was established at the start of the exchange. */
     @Test
-    void aLifeThatCouldNotBeWatchedIsUnknown() throws IOException {
+    void reportsUnknownIfNoConnectionWasEstablished() throws IOException {
         InetSocketAddress target = listen(0);
         listener.close();
-        TargetLife life = lives.current(target);
-        assertThat(look(life)).isEqualTo(LifeSign.ENDED);
+        TargetLife process = monitor.current(target);
+        assertThat(check(process)).isEqualTo(LifeSign.ENDED);
         listen(target.getPort());
-        assertThat(look(life)).isEqualTo(LifeSign.UNKNOWN);
+        assertThat(check(process)).isEqualTo(LifeSign.UNKNOWN);
     }
 
     @Test
-    void nothingIsKeptOnceClosed() throws IOException {
+    void reportsUnknownAfterClose() throws IOException {
         InetSocketAddress target = listen(0);
-        lives.close();
-        CompletableFuture<LifeSign> sign = lives.current(target).look(0);
+        monitor.close();
+        CompletableFuture<LifeSign> sign = monitor.current(target).look(0);
         assertThat(sign.join()).isEqualTo(LifeSign.UNKNOWN);
     }
 }
--- a/src/test/java/io/beryldock/http/ForwardResourceTest.java
+++ b/src/test/java/io/beryldock/http/ForwardResourceTest.java
@@ -24,10 +24,10 @@
 
 class ForwardResourceTest {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(10);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
     private static final String LOOPBACK = "127.0.0.1";
 
-    /** What the node's handler gives; null stands for one that fails when it is written. */
+    /** Result that the request handler returns; null causes a failure when the response is written. */
     private final CallResult result = null;
 
     private NodeHttpServer server;
@@ -72,17 +72,18 @@
         server.close();
     }
 
-    private HttpResponse<String> ask() throws Exception {
+    private HttpResponse<String> sendRequest() throws Exception {
         URI uri =
                 URI.create("http://" + LOOPBACK + ":" + server.callersAddress().getPort() + "/lists/1");
-        HttpRequest request = HttpRequest.newBuilder(uri).timeout(PATIENCE).build();
+        HttpRequest request =
+                HttpRequest.newBuilder(uri).timeout(REQUEST_TIMEOUT).build();
         return HttpClient.newHttpClient().send(request, BodyHandlers.ofString());
     }
 
-    /** Guards against a caller who waits for ever as the writing of his answer failed. */
+    /** Guards against a caller that waits indefinitely because writing its response failed. */
     @Test
-    void aResultThatCanNotBeWrittenIsUnknown() throws Exception {
-        HttpResponse<String> response = ask();
+    void respondsWithOutcomeUnknownIfResultCannotBeWritten() throws Exception {
+        HttpResponse<String> response = sendRequest();
         assertThat(response.statusCode()).isEqualTo(500);
         assertThat(response.headers().firstValue("Beryldock-Outcome")).contains("UNKNOWN");
     }
