--- a/src/main/java/io/beryldock/store/EntryListener.java
+++ b/src/main/java/io/beryldock/store/EntryListener.java
@@ -3,25 +3,28 @@
 import io.beryldock.store.RegistryStore.Entry;
 import java.util.Optional;
 
-/** Hears what the store holds under a prefix. Called on the thread of the timers. */
+/** Receives the entries under a prefix of the store and their changes. Called on the timer thread. */
 public interface EntryListener {
 
     /**
-     * The entry was written or removed; each change of a key is told once, in the order of revisions.
+     * Handles an entry that was written or removed. Each change of a key is delivered once, in the order of revisions.
      *
-     * @return whether the entry can be read. One that can't is passed over: what the key held before stays known, here
-     *     and to the nodes that learn of it from this one
+     * @return whether the entry could be decoded. An entry that can't be decoded is ignored: the previous value of the
+     *     key stays known, at this node and at the nodes that receive it from this one
      */
     boolean onEntry(Entry entry);
 
-    /** The entry that this listener goes by although the store has lost it, or set its key back to an older one. */
+    /**
+     * The entry that this listener still applies although the store has lost it or has restored an older value of its
+     * key.
+     */
     default Optional<Entry> kept() {
         return Optional.empty();
     }
 
-    /** Another node goes by this entry, which the store does not hold any more. */
+    /** Handles an entry that another node still applies although the store no longer holds it. */
     default void onKept(Entry entry) {}
 
-    /** Whether the store answered this node's last call. */
+    /** Reports whether the store answered this node's last call. */
     default void onStore(boolean reachable) {}
 }
--- a/src/main/java/io/beryldock/store/EntryTable.java
+++ b/src/main/java/io/beryldock/store/EntryTable.java
@@ -14,88 +14,90 @@
 import java.util.stream.Stream;
 
 /**
- * The entries under one prefix of the store as this node knows them, whoever told it.
+ * The entries under one prefix of the store as this node knows them, received from the store or from other nodes.
  *
- * <p>Invariants: of one key the change with the highest revision is kept; every change up to {@link #revision()} is in
- * the table; it enters a later era of the store only by a listing of it. Not thread safe.
+ * <p>Invariants: for each key the table keeps the change with the highest revision; every change up to
+ * {@link #revision()} is in the table; the table enters a later era of the store only through a listing made in that
+ * era. Not thread safe.
  */
 final class EntryTable {
 
-    /** How long removals are remembered: a node that lagged for longer is sent all there is. */
-    private static final long REMOVAL_HOLD = Duration.ofSeconds(30).toNanos();
+    /** Retention period of tombstones: a node that lags further behind is sent the complete listing. */
+    private static final long TOMBSTONE_RETENTION = Duration.ofSeconds(30).toNanos();
 
     private final String prefix;
-    private final Map<String, Entry> present = new HashMap<>();
-    private final Map<String, Removal> removed = new HashMap<>();
+    private final Map<String, Entry> entries = new HashMap<>();
+    private final Map<String, Tombstone> tombstones = new HashMap<>();
     private StoreRevision revision = StoreRevision.NONE;
-    private StoreRevision forgotten = StoreRevision.NONE;
+    private StoreRevision lastDiscarded = StoreRevision.NONE;
 
     EntryTable(String prefix) {
         this.prefix = prefix;
     }
 
-    /** The removal of a key and when this node heard of it. */
-    private record Removal(Entry entry, long at) {
+    /** The tombstone of a removed key, with the time at which this node recorded it. */
+    private record Tombstone(Entry entry, long recordedAt) {
 
         StoreRevision revision() {
             return entry.revision();
         }
     }
 
-    /** Up to which revision of the store every change is known; {@link StoreRevision#NONE} before the first listing. */
+    /** The revision up to which every change is known; {@link StoreRevision#NONE} before the first listing. */
     StoreRevision revision() {
         return revision;
     }
 
     boolean hasEntries() {
-        return !present.isEmpty();
+        return !entries.isEmpty();
     }
 
-    /** Every change up to this revision is in the table now. */
+    /** Records that the table now holds every change up to this revision. */
     void advance(StoreRevision to) {
         revision = StoreRevision.later(revision, to);
     }
 
     /**
-     * Whether the change is later than what is known of its key.
+     * Whether the change is newer than the known state of its key.
      *
-     * <p>None of an earlier era is: it may have been lost, and an answer that tells of it may come late.
+     * <p>A change of an earlier era never is: the store may have lost the change, and an answer that contains it may
+     * have been delayed.
      */
-    boolean isNews(Entry entry) {
+    boolean isNewer(Entry entry) {
         boolean earlierEra = entry.revision().era() < revision.era();
         return !earlierEra && entry.revision().isAfter(known(entry.key()));
     }
 
-    /** Takes one change that is news. */
-    void take(Entry entry, long now) {
+    /** Applies one change, which must be newer than the known state of its key. */
+    void apply(Entry entry, long now) {
         if (entry.value().isPresent()) {
-            present.put(entry.key(), entry);
-            removed.remove(entry.key());
+            entries.put(entry.key(), entry);
+            tombstones.remove(entry.key());
         } else {
-            present.remove(entry.key());
-            removed.put(entry.key(), new Removal(entry, now));
+            entries.remove(entry.key());
+            tombstones.put(entry.key(), new Tombstone(entry, now));
         }
     }
 
     private StoreRevision known(String key) {
-        Entry entry = present.get(key);
+        Entry entry = entries.get(key);
         if (entry != null) {
             return entry.revision();
         }
-        Removal removal = removed.get(key);
-        return removal == null ? StoreRevision.NONE : removal.revision();
+        Tombstone tombstone = tombstones.get(key);
+        return tombstone == null ? StoreRevision.NONE : tombstone.revision();
     }
 
-    /** Whether the listing was made before the last change that is known: by a copy behind the rest, or long ago. */
+    /** Whether the listing is older than the table: it was made by a replica that lags, or its answer was delayed. */
     boolean isOutdated(Listing listing) {
         return revision.isAfter(listing.revision());
     }
 
     /**
-     * The changes that lead from what is known to the listing, in the order of their revisions.
+     * The changes that lead from the known state to the listing, in the order of their revisions.
      *
-     * <p>None when the listing is outdated: it lists what has long been removed. An entry written after the listing was
-     * made is not gone.
+     * <p>Empty when the listing is outdated, as it may list entries that have since been removed. An entry that was
+     * written after the listing was made does not count as removed.
      */
     ImmutableList<Entry> changesTo(Listing listing) {
         if (isOutdated(listing)) {
@@ -105,11 +107,11 @@
         Set<String> listed = new HashSet<>();
         for (Entry entry : listing.entries()) {
             listed.add(entry.key());
-            if (isNews(entry) && !isCopied(entry)) {
+            if (isNewer(entry) && !isCopied(entry)) {
                 changes.add(entry);
             }
         }
-        for (Entry entry : present.values()) {
+        for (Entry entry : entries.values()) {
             boolean later = entry.revision().isAfter(listing.revision());
             if (!listed.contains(entry.key()) && !later) {
                 changes.add(new Entry(entry.key(), listing.revision(), Optional.empty()));
@@ -118,38 +120,38 @@
         return ImmutableList.sortedCopyOf(Comparator.comparing(Entry::revision), changes.build());
     }
 
-    /** Whether this very change was known before the store came back from a copy that holds it. */
+    /** Whether the same change was known before the store was restored from a copy that contains it. */
     private boolean isCopied(Entry entry) {
-        Entry known = present.get(entry.key());
+        Entry known = entries.get(entry.key());
         return known != null
                 && known.revision().number() == entry.revision().number()
                 && known.value().equals(entry.value());
     }
 
     /**
-     * What changed after the revision; in full when that reaches further back than removals are remembered, or into
-     * another era.
+     * The changes after the revision, or all entries when the revision precedes the tombstone retention period or
+     * belongs to another era.
      */
     StorePart since(StoreRevision after, long now) {
-        forgetRemovals(now);
-        boolean whole = !after.isSameEra(revision) || !after.isAfter(forgotten);
+        discardExpiredTombstones(now);
+        boolean whole = !after.isSameEra(revision) || !after.isAfter(lastDiscarded);
         StorePart.Builder part =
                 StoreParts.part(prefix, revision).setSince(after.number()).setWhole(whole);
-        Stream<Entry> removals =
-                whole ? Stream.empty() : removed.values().stream().map(Removal::entry);
-        Stream.concat(present.values().stream(), removals)
+        Stream<Entry> listedTombstones =
+                whole ? Stream.empty() : tombstones.values().stream().map(Tombstone::entry);
+        Stream.concat(entries.values().stream(), listedTombstones)
                 .filter(entry -> whole || entry.revision().isAfter(after))
                 .forEach(entry -> part.addEntries(StoreParts.entry(entry)));
         return part.build();
     }
 
-    private void forgetRemovals(long now) {
-        removed.values().removeIf(removal -> {
-            boolean old = now - removal.at() > REMOVAL_HOLD;
-            if (old) {
-                forgotten = StoreRevision.later(forgotten, removal.revision());
+    private void discardExpiredTombstones(long now) {
+        tombstones.values().removeIf(tombstone -> {
+            boolean expired = now - tombstone.recordedAt() > TOMBSTONE_RETENTION;
+            if (expired) {
+                lastDiscarded = StoreRevision.later(lastDiscarded, tombstone.revision());
             }
-            return old;
+            return expired;
         });
     }
 }
--- a/src/main/java/io/beryldock/store/HttpPlatformStore.java
+++ b/src/main/java/io/beryldock/store/HttpPlatformStore.java
@@ -24,12 +24,11 @@
 import org.apache.hc.core5.io.CloseMode;
 
 /**
- * The platform store over HTTP, in the protocol of docs/PLATFORM-PROTOCOL.md.
+ * Client of the platform store over HTTP, in the protocol of docs/PLATFORM-PROTOCOL.md.
  *
- * <p>Thread safe; never blocks its caller. A write is {@link WriteResult.Kind#NOT_APPLIED} only if it was never sent
- * (no
- * connection) or the store says so itself; every other failure after the first byte may hide an effect and is
- * {@link WriteResult.Kind#UNKNOWN}. No request is ever sent twice.
+ * <p>Thread safe; never blocks its caller. A write is {@link WriteResult.Kind#NOT_APPLIED} only if the request was
+ * never sent because there was no connection, or if the store reports that it did not apply the write. After any other
+ * failure the write may have taken effect, so it is {@link WriteResult.Kind#UNKNOWN}. No request is ever sent twice.
  */
 public final class HttpPlatformStore implements PlatformStore, AutoCloseable {
 
@@ -37,48 +36,45 @@
     private static final int MAX_CONNECTIONS = 64;
     private static final String REMEDY = "; go on with what is known and ask again later";
 
-    private final String base;
+    private final String baseUrl;
     private final Duration timeout;
     private final TimerService timers;
     private final CloseableHttpAsyncClient client;
 
-    private HttpPlatformStore(String base, Duration timeout, TimerService timers, CloseableHttpAsyncClient client) {
-        this.base = base;
+    private HttpPlatformStore(String baseUrl, Duration timeout, TimerService timers, CloseableHttpAsyncClient client) {
+        this.baseUrl = baseUrl;
         this.timeout = timeout;
         this.timers = timers;
         this.client = client;
     }
 
-    /**
-     * Starts a client of the store at that address, for example {@code http://127.0.0.1:7000}; the caller closes
-     * it.
-     */
+    /** Starts a client of the store at the address, for example {@code http://127.0.0.1:7000}; the caller closes it. */
     public static HttpPlatformStore start(URI address, Duration timeout, TimerService timers) {
         PlainHttpClientOptions options = PlainHttpClientOptions.of(IO_THREADS, MAX_CONNECTIONS, MAX_CONNECTIONS)
                 .withConnectionWait(timeout)
                 .withAnswerTimeout(Duration.ZERO);
-        String base = address.toString().replaceAll("/+$", "");
-        return new HttpPlatformStore(base, timeout, timers, PlainHttpClients.start(options));
+        String baseUrl = address.toString().replaceAll("/+$", "");
+        return new HttpPlatformStore(baseUrl, timeout, timers, PlainHttpClients.start(options));
     }
 
     @Override
     public CompletableFuture<Optional<StoredValue>> get(String key) {
-        return read(SimpleRequestBuilder.get(base + keyPath(key)).build(), timeout, HttpPlatformStore::value);
+        return read(SimpleRequestBuilder.get(baseUrl + keyPath(key)).build(), timeout, HttpPlatformStore::value);
     }
 
     @Override
     public CompletableFuture<WriteResult> compareAndSet(String key, long expectedVersion, ByteString value) {
-        SimpleHttpRequest request = SimpleRequestBuilder.put(base + keyPath(key) + "?expected=" + expectedVersion)
+        SimpleHttpRequest request = SimpleRequestBuilder.put(baseUrl + keyPath(key) + "?expected=" + expectedVersion)
                 .setBody(value.toByteArray(), ContentType.APPLICATION_OCTET_STREAM)
                 .build();
-        return exchange(request, timeout).handle(HttpPlatformStore::written);
+        return exchange(request, timeout).handle(HttpPlatformStore::toWriteResult);
     }
 
     @Override
     public CompletableFuture<Boolean> lease(String name, String holder, Duration length) {
         String query =
                 "?holder=" + UrlEscapers.urlFormParameterEscaper().escape(holder) + "&millis=" + length.toMillis();
-        SimpleHttpRequest request = SimpleRequestBuilder.post(base + PlatformProtocol.LEASES + path(name) + query)
+        SimpleHttpRequest request = SimpleRequestBuilder.post(baseUrl + PlatformProtocol.LEASES + path(name) + query)
                 .build();
         return read(request, timeout, HttpPlatformStore::held);
     }
@@ -87,7 +83,7 @@
     public CompletableFuture<Optional<StoredValue>> watch(String key, long afterVersion, Duration wait) {
         String query = "?after=" + afterVersion + "&wait=" + wait.toMillis();
         SimpleHttpRequest request =
-                SimpleRequestBuilder.get(base + keyPath(key) + query).build();
+                SimpleRequestBuilder.get(baseUrl + keyPath(key) + query).build();
         return read(request, wait.plus(timeout), HttpPlatformStore::value);
     }
 
@@ -104,9 +100,9 @@
         return UrlEscapers.urlPathSegmentEscaper().escape(name).replace("%2F", "/");
     }
 
-    private <T> CompletableFuture<T> read(SimpleHttpRequest request, Duration longest, AnswerReader<T> reader) {
+    private <T> CompletableFuture<T> read(SimpleHttpRequest request, Duration timeLimit, AnswerReader<T> reader) {
         CompletableFuture<T> result = new CompletableFuture<>();
-        var unused = exchange(request, longest).whenComplete((response, failure) -> {
+        var unused = exchange(request, timeLimit).whenComplete((response, failure) -> {
             try {
                 if (failure != null) {
                     throw new PlatformException("no answer from the platform store" + REMEDY, failure);
@@ -119,20 +115,21 @@
         return result;
     }
 
-    /** Sends the request once; the future fails with what the client said, or when the time is over. */
-    private CompletableFuture<SimpleHttpResponse> exchange(SimpleHttpRequest request, Duration longest) {
+    /** Sends the request once; the future fails with the error of the HTTP client, or when the time limit is reached. */
+    private CompletableFuture<SimpleHttpResponse> exchange(SimpleHttpRequest request, Duration timeLimit) {
         CompletableFuture<SimpleHttpResponse> answer = new CompletableFuture<>();
         Future<SimpleHttpResponse> sent = client.execute(request, new Completion(answer));
-        TimerService.Subscription end = timers.after(longest, () -> {
-            // Failing first makes a write whose cancelled exchange may have left this process unknown, not refused.
-            answer.completeExceptionally(new PlatformException("no answer in " + longest + REMEDY));
+        TimerService.Subscription timeoutTimer = timers.after(timeLimit, () -> {
+            // Fails the future before cancelling the exchange: the request may already have left this process, so the
+            // write must be reported as unknown rather than as not applied.
+            answer.completeExceptionally(new PlatformException("no answer in " + timeLimit + REMEDY));
             sent.cancel(true);
         });
-        var unused = answer.whenComplete((response, failure) -> end.cancel());
+        var unused = answer.whenComplete((response, failure) -> timeoutTimer.cancel());
         return answer;
     }
 
-    private static WriteResult written(SimpleHttpResponse response, Throwable failure) {
+    private static WriteResult toWriteResult(SimpleHttpResponse response, Throwable failure) {
         if (failure != null) {
             return neverSent(failure) ? WriteResult.notApplied() : WriteResult.unknown();
         }
@@ -147,7 +144,7 @@
         };
     }
 
-    /** Whether the failure proves that no byte of the request left, so that it can't have taken effect. */
+    /** Whether the failure proves that no byte of the request was sent, so that it can't have taken effect. */
     private static boolean neverSent(Throwable failure) {
         return failure instanceof ConnectException
                 || failure instanceof ConnectTimeoutException
--- a/src/main/java/io/beryldock/store/InMemoryPlatformStore.java
+++ b/src/main/java/io/beryldock/store/InMemoryPlatformStore.java
@@ -13,16 +13,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A stand-in of the platform store within the process, with faults that can be switched at any time.
+ * An in-memory platform store for tests and stand-in servers, with faults that can be switched at any time.
  *
  * <p>Thread safe: one lock guards all state, and futures complete outside of it. Without a delay a call completes
- * before it returns. Invariants: the versions of a key rise by one with each write; a call takes effect at most once;
- * a call completes within the answer timeout (a watch within that after its wait). On an injected timer service and
- * a seeded generator every run replays.
+ * before it returns. Invariants: the version of a key rises by one with each write; a call takes effect at most once; a
+ * call completes within the answer timeout, and a watch within the answer timeout after its wait. With a manual timer
+ * service and a seeded generator each run is reproducible.
  */
 public final class InMemoryPlatformStore implements PlatformStore {
 
-    /** Time after which a call without an answer is given up. */
+    /** Time after which a call without an answer fails. */
     public static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(1);
 
     private static final String REMEDY = "; go on with what is known and ask again later";
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Puts these faults in place of those before; watches that wait fail when the store can't be reached now. */
+    /** Replaces the current faults. Pending watches fail when the new faults make the store unreachable. */
     public void setFaults(StoreFaults next) {
         List<Watch> failed = new ArrayList<>();
         synchronized (lock) {
@@ -66,7 +66,7 @@
         failed.forEach(watch -> watch.answer.completeExceptionally(unreachable()));
     }
 
-    /** Ends every lease now, whoever holds it. */
+    /** Ends every lease now, regardless of its holder. */
     public void lapseLeases() {
         synchronized (lock) {
             leases.clear();
@@ -120,8 +120,8 @@
         if (known.isPresent()) {
             answer.complete(known);
         } else {
-            TimerService.Subscription end = timers.after(wait, () -> endWatch(watch));
-            cancelOnceDone(answer, end);
+            TimerService.Subscription timer = timers.after(wait, () -> endWatch(watch));
+            cancelOnCompletion(answer, timer);
         }
         return answer;
     }
@@ -135,14 +135,11 @@
         return answer;
     }
 
-    /**
-     * Lets the effect happen after half the delay and answers after the other half, unless the call or answer is
-     * lost.
-     */
-    private <T> void serve(CompletableFuture<T> answer, Supplier<T> effect, Runnable giveUp) {
+    /** Applies the effect after half of the delay and answers after the other half, unless call or answer is lost. */
+    private <T> void serve(CompletableFuture<T> answer, Supplier<T> effect, Runnable onTimeout) {
         StoreFaults current = faults();
         if (current.silent() || !current.delay().isZero()) {
-            giveUpLater(answer, giveUp);
+            scheduleTimeout(answer, onTimeout);
         }
         if (current.silent()) {
             return;
@@ -151,7 +148,7 @@
         delayed(half, () -> {
             T result = locked(effect);
             if (isAnswerLost()) {
-                giveUpLater(answer, giveUp);
+                scheduleTimeout(answer, onTimeout);
                 return;
             }
             delayed(half, () -> answer.complete(result));
@@ -172,13 +169,13 @@
         }
     }
 
-    private void giveUpLater(CompletableFuture<?> answer, Runnable giveUp) {
-        TimerService.Subscription end = timers.after(ANSWER_TIMEOUT, giveUp);
-        cancelOnceDone(answer, end);
+    private void scheduleTimeout(CompletableFuture<?> answer, Runnable onTimeout) {
+        TimerService.Subscription timer = timers.after(ANSWER_TIMEOUT, onTimeout);
+        cancelOnCompletion(answer, timer);
     }
 
-    private static void cancelOnceDone(CompletableFuture<?> answer, TimerService.Subscription end) {
-        var unused = answer.whenComplete((value, failure) -> end.cancel());
+    private static void cancelOnCompletion(CompletableFuture<?> answer, TimerService.Subscription timer) {
+        var unused = answer.whenComplete((value, failure) -> timer.cancel());
     }
 
     private boolean isAnswerLost() {
@@ -209,7 +206,7 @@
     private boolean takeLease(String name, String holder, Duration length) {
         long now = timers.ticker().nanos();
         Lease lease = leases.get(name);
-        boolean free = lease == null || lease.end - now <= 0 || lease.holder.equals(holder);
+        boolean free = lease == null || lease.expiresAt - now <= 0 || lease.holder.equals(holder);
         if (free) {
             long held = faults.lapsingLeases() ? 0 : length.toNanos();
             leases.put(name, new Lease(holder, now + held));
@@ -249,7 +246,7 @@
         return new PlatformException("no answer from the platform store in " + ANSWER_TIMEOUT + REMEDY);
     }
 
-    private record Lease(String holder, long end) {}
+    private record Lease(String holder, long expiresAt) {}
 
     private record Watch(String key, long afterVersion, CompletableFuture<Optional<StoredValue>> answer) {}
 }
--- a/src/main/java/io/beryldock/store/PlatformException.java
+++ b/src/main/java/io/beryldock/store/PlatformException.java
@@ -1,6 +1,6 @@
 package io.beryldock.store;
 
-/** The platform store gave no usable answer; the message names the remedy. */
+/** Thrown when the platform store gives no usable answer; the message names the remedy. */
 public final class PlatformException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/io/beryldock/store/PlatformProtocol.java
+++ b/src/main/java/io/beryldock/store/PlatformProtocol.java
@@ -1,29 +1,29 @@
 package io.beryldock.store;
 
-/** Paths, headers and status codes of docs/PLATFORM-PROTOCOL.md. */
+/** Paths, headers and status codes of the protocol in docs/PLATFORM-PROTOCOL.md. */
 public final class PlatformProtocol {
 
-    /** Path prefix of values; the key follows. */
+    /** Path prefix of values, followed by the key. */
     public static final String VALUES = "/v1/kv/";
 
-    /** Path prefix of leases; the name follows. */
+    /** Path prefix of leases, followed by the name of the lease. */
     public static final String LEASES = "/v1/leases/";
 
-    /** Version of the value in the answer, 0 when there is none. */
+    /** Header with the version of the value in the answer; 0 when the key has no value. */
     public static final String VERSION_HEADER = "Store-Version";
 
-    /** Stands in an answer when the store has not carried out the call and will not. */
+    /** Header of an answer to a call that the store has not applied and will not apply. */
     public static final String NOT_APPLIED_HEADER = "Store-Not-Applied";
 
     public static final int OK = 200;
 
-    /** The watched value has not changed within the wait. */
+    /** Status of a watch whose value did not change within the wait. */
     public static final int NOTHING_NEW = 204;
 
     public static final int BAD_REQUEST = 400;
     public static final int NOT_FOUND = 404;
 
-    /** Another version stands in the way, or another holder has the lease. */
+    /** Status of a write whose expected version does not match, or of a lease that another holder has. */
     public static final int CONFLICT = 409;
 
     public static final int TOO_LARGE = 413;
--- a/src/main/java/io/beryldock/store/RegistryStore.java
+++ b/src/main/java/io/beryldock/store/RegistryStore.java
@@ -7,49 +7,53 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The part of the platform's store through which nodes find each other: entries under leases, listed and watched.
+ * Client interface of the platform's store for service discovery: nodes write entries under leases, list and watch them.
  *
  * <p>Thread safe. Futures complete on any thread; the store never blocks its caller. A future fails only with a
- * {@link PlatformException}; a write that failed may have taken effect. A lease only removes entries of nodes that have
- * gone; no safety rests on it.
+ * {@link PlatformException}; a write that failed may have taken effect. Leases only remove the entries of nodes that are
+ * gone; safety must not depend on them.
  */
 public interface RegistryStore {
 
-    /** The eras that this node has heard of; each answer of the store names its own before its future completes. */
+    /** The eras that this node knows. The era of each answer of the store is recorded before its future completes. */
     StoreEras eras();
 
-    /** All entries whose key has the prefix; not a snapshot, but nothing after its revision is missed by a watch. */
+    /**
+     * Lists all entries whose key has the prefix. The listing is not a snapshot, but a watch from its revision misses no
+     * change.
+     */
     CompletableFuture<Listing> list(String prefix);
 
-    /** Completes with what changed under the prefix after the revision, or empty after {@code wait}. */
+    /** Completes with the changes under the prefix after the revision, or without changes after {@code wait}. */
     CompletableFuture<Changes> changes(String prefix, StoreRevision after, Duration wait);
 
-    /** Completes when the store answers; a call that costs next to nothing. */
+    /** Completes when the store answers; an inexpensive call. */
     CompletableFuture<Void> probe();
 
-    /** Grants a lease and tells its number. */
+    /** Grants a lease; the result is its number. */
     CompletableFuture<Long> grantLease(Duration length);
 
-    /** Renews the lease; false when it has ended. */
+    /** Renews the lease; the result is false when the lease has ended. */
     CompletableFuture<Boolean> renewLease(long lease);
 
     /** Ends the lease and removes its entries. */
     CompletableFuture<Void> endLease(long lease);
 
-    /** Writes the entry under the lease, whatever it held; false when the lease has ended. */
+    /** Writes the entry under the lease, replacing any previous value; the result is false when the lease has ended. */
     CompletableFuture<Boolean> put(String key, ByteString value, long lease);
 
-    /** An entry as written, or its removal. Immutable. */
+    /** An entry as written, or its removal when the value is empty. Immutable. */
     record Entry(String key, StoreRevision revision, Optional<ByteString> value) {}
 
-    /** Entries and a revision after which changes follow. Immutable. */
+    /** Entries under a prefix and the revision from which to watch for later changes. Immutable. */
     record Listing(ImmutableList<Entry> entries, StoreRevision revision) {}
 
     /**
-     * Changes in their order. Those of another era than the one that was asked about continue nothing. Immutable.
+     * Changes in the order of their revisions. If their era is not that of the requested revision, they don't continue
+     * the history up to it. Immutable.
      *
-     * @param historyGone the store no longer knows what changed: list again
-     * @param revision from where to go on
+     * @param historyGone whether the store has discarded the requested history, so that the entries must be listed again
+     * @param revision the revision from which to continue watching
      */
     record Changes(boolean historyGone, ImmutableList<Entry> entries, StoreRevision revision) {}
 }
--- a/src/main/java/io/beryldock/store/SharedFollower.java
+++ b/src/main/java/io/beryldock/store/SharedFollower.java
@@ -13,10 +13,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One prefix of the store, followed by this node itself while it is a watcher and through other nodes otherwise.
+ * Follows one prefix of the store: directly while this node is a watcher, and through notices of other nodes otherwise.
  *
- * <p>Used on the thread of the timers only. The listener hears each change of a key once, in the order of its
- * revisions, whoever told it.
+ * <p>Used on the timer thread only. The listener receives each change of a key once, in the order of revisions,
+ * regardless of the source of the change.
  */
 final class SharedFollower implements StoreFollower.Listener {
 
@@ -32,17 +32,17 @@
     private final Owner owner;
     private final StoreFollower follower;
     private boolean watcher;
-    private StoreRevision told = StoreRevision.NONE;
-    private boolean behind;
-    private Moment listingAsked;
-    private StoreRevision unreadRevision = StoreRevision.NONE;
+    private StoreRevision forwardedRevision = StoreRevision.NONE;
+    private boolean overtakenBefore;
+    private Moment startedAt;
+    private StoreRevision undecodableRevision = StoreRevision.NONE;
 
-    /** Written on the control thread only; traffic asks how old it is. */
+    /** Written on the control thread only; read by request threads, which check its age. */
     private volatile Moment verified;
 
     SharedFollower(
             String prefix,
-            Duration gather,
+            Duration batchDelay,
             EntryListener listener,
             Owner owner,
             RegistryStore store,
@@ -56,22 +56,22 @@
         this.table = new EntryTable(prefix);
         this.listener = listener;
         this.owner = owner;
-        this.follower = StoreFollower.create(store, prefix, gather, () -> watcher, timers, random, this);
+        this.follower = StoreFollower.create(store, prefix, batchDelay, () -> watcher, timers, random, this);
     }
 
-    /** Reads the entries once. */
+    /** Starts with a listing of the entries. */
     void start() {
-        listingAsked = clock.now();
+        startedAt = clock.now();
         follower.start();
     }
 
-    /** What the follower is a part of. */
+    /** Receives the events of a follower. */
     interface Owner {
 
-        /** The store told of changes up to a later revision. */
-        void onNews(SharedFollower follower);
+        /** The store reported all changes up to the follower's revision. */
+        void onChanges(SharedFollower follower);
 
-        /** A call of the store ended; {@code answered} tells whether by an answer. */
+        /** A call of the store ended; {@code answered} is false when it failed. */
         void onStore(boolean answered);
     }
 
@@ -83,15 +83,15 @@
         return table.revision();
     }
 
-    /** What the store told this node last, before which others know all that it can tell them. */
-    StoreRevision told() {
-        return told;
+    /** The revision up to which this node has forwarded the store's changes to other nodes. */
+    StoreRevision forwardedRevision() {
+        return forwardedRevision;
     }
 
-    /** Watches the store from now on, or no longer than the present watch. */
+    /** Starts watching the store, or stops watching it at the end of the current watch. */
     void setWatcher(boolean value) {
         if (value && !watcher) {
-            told = table.revision();
+            forwardedRevision = table.revision();
         }
         watcher = value;
         if (watcher) {
@@ -100,32 +100,32 @@
     }
 
     /**
-     * Replaces the watch when others have been ahead of it for as long as between two calls of this.
+     * Replaces the watch when other nodes have known later revisions at this call and at the previous one.
      *
-     * <p>A connection that has gone silent shows no error: the watch would wait for its whole time while the store has
-     * news.
+     * <p>A connection that silently drops data reports no error: without this check the watch would wait until its
+     * timeout although the store has changes.
      */
     void replaceSilentWatch() {
-        boolean ahead = watcher && table.revision().isAfter(follower.followed());
-        if (ahead && behind) {
-            follower.refreshFrom(table.revision());
+        boolean overtaken = watcher && table.revision().isAfter(follower.watchRevision());
+        if (overtaken && overtakenBefore) {
+            follower.restartWatchFrom(table.revision());
         }
-        behind = ahead && !behind;
+        overtakenBefore = overtaken && !overtakenBefore;
     }
 
-    void refresh() {
+    void restartWatch() {
         if (watcher) {
-            follower.refresh();
+            follower.restartWatch();
         }
     }
 
-    /** The store is in this era: a watch that began in an earlier one waits for revisions that may never come. */
+    /** Enters an era of the store. A watch that began in an earlier era waits for revisions that may never come. */
     void enterEra(long era) {
-        if (!watcher || follower.followed().era() >= era) {
+        if (!watcher || follower.watchRevision().era() >= era) {
             return;
         }
         if (table.revision().era() >= era) {
-            follower.refreshFrom(table.revision());
+            follower.restartWatchFrom(table.revision());
         } else {
             follower.start();
         }
@@ -136,10 +136,10 @@
     }
 
     /**
-     * Asks the store whether it holds anything newer.
+     * Lists the entries to verify that the store holds nothing newer than this node.
      *
-     * <p>A watch that ends without news proves nothing of its last second: a store that tidies up its history may keep
-     * changes from watches for as long. A reading does.
+     * <p>A watch that ends without changes proves nothing about its last second, as a store that compacts its history
+     * may withhold changes from watches for that long. A listing does prove it.
      */
     void verify() {
         Moment asked = clock.now();
@@ -154,34 +154,35 @@
     }
 
     /**
-     * The store was asked at the moment or later and had nothing newer than the revision.
+     * Records that the store, when asked at the given moment or later, had nothing newer than the revision.
      *
-     * <p>It counts only when this node has taken in all up to that revision, and can read the newest of it.
+     * <p>The verification counts only if this node has applied every change up to that revision and could decode the
+     * latest one.
      */
     void noteVerified(Moment asked, StoreRevision revision) {
-        boolean taken = !revision.isAfter(table.revision()) && unreadRevision.equals(StoreRevision.NONE);
-        if (taken && (verified == null || asked.isAfter(verified))) {
+        boolean applied = !revision.isAfter(table.revision()) && undecodableRevision.equals(StoreRevision.NONE);
+        if (applied && (verified == null || asked.isAfter(verified))) {
             verified = asked;
         }
     }
 
-    /** What the listener goes by and the store does not hold any more. */
+    /** The entry that the listener still applies although the store no longer holds it. */
     Optional<Entry> kept() {
         return listener.kept();
     }
 
-    /** When the store had surely nothing newer than what this node has taken in; empty before that was ever known. */
+    /** The latest moment at which the store provably had nothing newer than this node; empty before a verification. */
     Optional<Moment> verified() {
         return Optional.ofNullable(verified);
     }
 
     /**
-     * Takes what another node told; false when changes before it are missing.
+     * Applies a part of another node's notice; false when changes that precede the part are missing.
      *
-     * <p>Changes of an earlier era are no news, as what was not copied of that era is gone. Those of a later one say
-     * nothing of what the store lost between them.
+     * <p>Changes of an earlier era are ignored, as the store has lost those that its restored copy does not contain.
+     * Changes of a later era don't show which entries the store lost between the eras.
      */
-    boolean take(StorePart part) {
+    boolean apply(StorePart part) {
         if (part.hasKept()) {
             listener.onKept(StoreParts.entry(part.getKept()));
         }
@@ -201,17 +202,17 @@
         return true;
     }
 
-    /** The follower may have asked for it later than at its start, which makes what it shows no older. */
+    /** The listing may have been requested after {@code startedAt}, so its verification is at least that recent. */
     @Override
     public void onListing(Listing listing) {
         applyStored(listing);
-        noteVerified(listingAsked, listing.revision());
+        noteVerified(startedAt, listing.revision());
     }
 
-    /** The store lists entries that can't be read as well, which other nodes pass over. */
+    /** A listing of the store also contains entries that can't be decoded; notices of other nodes omit them. */
     private void applyStored(Listing listing) {
         if (!table.isOutdated(listing)) {
-            unreadRevision = StoreRevision.NONE;
+            undecodableRevision = StoreRevision.NONE;
         }
         applyListing(listing);
     }
@@ -219,7 +220,7 @@
     private void applyListing(Listing listing) {
         if (table.isOutdated(listing)) {
             log.atWarning().atMostEvery(LOG_SECONDS, TimeUnit.SECONDS).log(
-                    "a listing of %s at revision %s is older than revision %s, which is known: it is passed over",
+                    "ignoring a listing of %s at revision %s: it is older than the known revision %s",
                     prefix, listing.revision(), table.revision());
             return;
         }
@@ -229,23 +230,25 @@
 
     @Override
     public void onChange(Entry entry) {
-        if (!table.isNews(entry)) {
-            log.atFine().log("%s at revision %s is no news", entry.key(), entry.revision());
+        if (!table.isNewer(entry)) {
+            log.atFine().log(
+                    "ignoring %s at revision %s: it is not newer than the known state", entry.key(), entry.revision());
             return;
         }
         if (listener.onEntry(entry)) {
-            table.take(entry, timers.ticker().nanos());
-            unreadRevision = unreadRevision.isAfter(entry.revision()) ? unreadRevision : StoreRevision.NONE;
+            table.apply(entry, timers.ticker().nanos());
+            undecodableRevision =
+                    undecodableRevision.isAfter(entry.revision()) ? undecodableRevision : StoreRevision.NONE;
         } else {
-            unreadRevision = StoreRevision.later(unreadRevision, entry.revision());
+            undecodableRevision = StoreRevision.later(undecodableRevision, entry.revision());
         }
     }
 
     @Override
     public void onCaughtUp(StoreRevision revision) {
         table.advance(revision);
-        owner.onNews(this);
-        told = StoreRevision.later(told, revision);
+        owner.onChanges(this);
+        forwardedRevision = StoreRevision.later(forwardedRevision, revision);
     }
 
     @Override
--- a/src/main/java/io/beryldock/store/StoreEras.java
+++ b/src/main/java/io/beryldock/store/StoreEras.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The eras of the store that its answers have named.
+ * Tracks the newest era of the store that its answers or other nodes have reported.
  *
- * <p>An era ends when the store comes back from an older copy of itself: what was written since the copy was made is
- * gone, and its revisions are given out again. Thread safe. Invariant: the newest era never falls.
+ * <p>An era ends when the store is restored from an older copy of itself: all writes since the copy was made are lost,
+ * and their revisions are assigned again. Thread safe. Invariant: the newest era never decreases.
  */
 public final class StoreEras {
 
-    /** Era of a store that names none. */
+    /** Era of a store that reports no era. */
     public static final long NONE = 0;
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
@@ -29,23 +29,24 @@
         return new StoreEras();
     }
 
-    /** The newest era that was named. */
+    /** The newest era that was reported. */
     public long newest() {
         return newest.get();
     }
 
-    /** Runs the task on the thread of the timers each time that the store has come back from an older copy. */
+    /** Subscribes a task that runs on the timer thread each time the store has been restored from an older copy. */
     public void onRise(TimerService timers, Runnable task) {
         subscribers.add(() -> timers.after(Duration.ZERO, task));
     }
 
-    /** An answer named the era; one that was under way for long may name an earlier one. */
+    /** Records the era that an answer reported; a delayed answer may report an earlier era, which has no effect. */
     public void note(long era) {
         long before = newest.getAndAccumulate(era, Math::max);
         if (before == NONE && era > before) {
             log.atInfo().log("the store is in era %d", era);
         } else if (era > before) {
-            log.atWarning().log("the store's era rose from %d to %d: it came back from an older copy", before, era);
+            log.atWarning().log(
+                    "the store's era rose from %d to %d: the store was restored from an older copy", before, era);
             subscribers.forEach(Runnable::run);
         }
     }
--- a/src/main/java/io/beryldock/store/StoreFaults.java
+++ b/src/main/java/io/beryldock/store/StoreFaults.java
@@ -4,17 +4,19 @@
 import java.util.Objects;
 
 /**
- * Which faults a stand-in of the platform store shows.
+ * The faults that a stand-in of the platform store simulates.
  *
- * <p>Immutable. Several faults may be on at once; the first of down, refusing, silent that is on hides the others.
+ * <p>Immutable. Several faults may be enabled at once; of down, refusing and silent, in this order, the first enabled
+ * fault hides the others.
  *
- * @param down no connection can be made: reads fail at once, writes are {@link WriteResult.Kind#NOT_APPLIED}
- * @param refusing the store answers that it takes no calls: the same outcomes as {@code down}
- * @param silent calls vanish on the way to the store: reads fail and writes are unknown after the answer timeout
- * @param delay time that each call takes; its effect falls in the middle
- * @param loseNext number of answers lost from now on, each after its call took effect
- * @param loseShare share of answers lost after that, 0 to 1
- * @param lapsingLeases a lease is over as soon as it is granted, as it is for a holder that was paused
+ * @param down connections fail: reads fail at once, writes are {@link WriteResult.Kind#NOT_APPLIED}
+ * @param refusing the store rejects every call with an answer: the same outcomes as {@code down}
+ * @param silent calls are lost before they reach the store: after the answer timeout reads fail and writes are
+ *     {@link WriteResult.Kind#UNKNOWN}
+ * @param delay duration of each call; the call takes effect after half of it
+ * @param loseNext number of the next answers that are lost, each after its call took effect
+ * @param loseShare probability that an answer after those is lost, 0 to 1
+ * @param lapsingLeases each lease expires as soon as it is granted, as if its holder had been paused
  */
 public record StoreFaults(
         boolean down,
@@ -66,7 +68,7 @@
         return new StoreFaults(down, refusing, silent, delay, loseNext, loseShare, on);
     }
 
-    /** Whether calls can't reach the store at all, and their callers are told so. */
+    /** Whether every call fails at once because the store is down or refuses calls. */
     public boolean unreachable() {
         return down || refusing;
     }
--- a/src/main/java/io/beryldock/store/StoreFollower.java
+++ b/src/main/java/io/beryldock/store/StoreFollower.java
@@ -12,21 +12,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Follows the entries under a prefix: lists them once, then watches, and lists again when the store has forgotten its
- * history or come back from an older copy.
+ * Follows the entries under a prefix: lists them once, then watches them, and lists them again when the store has
+ * compacted its history or was restored from an older copy.
  *
- * <p>Used on the thread of the timers only. Invariant: the listener sees every change after a listing in order, or
+ * <p>Used on the timer thread only. Invariant: after a listing the listener receives either every change in order or
  * another listing.
  */
 final class StoreFollower {
 
-    /** Pause after a call that failed, jittered by half: nodes must not fall upon a store that has just come back. */
-    private static final Duration RETRY = Duration.ofMillis(250);
+    /** Delay after a failed call, jittered by half so that the nodes' retries don't overload a store that recovers. */
+    private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-    /** Longest such pause; it doubles with each failure, as each call of a store that is away is one in vain. */
-    private static final Duration LONGEST_RETRY = Duration.ofSeconds(1);
+    /** Longest delay; the delay doubles with each failure, as calls of an unavailable store are wasted. */
+    private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(1);
 
-    /** Longest wait of one watch; a silent connection is noticed earlier, by what other nodes know. */
+    /** Longest wait of one watch; a silent connection is detected earlier, when other nodes know later revisions. */
     private static final Duration WATCH = Duration.ofSeconds(10);
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
@@ -34,27 +34,27 @@
 
     private final RegistryStore store;
     private final String prefix;
-    private final Duration gather;
+    private final Duration batchDelay;
     private final BooleanSupplier wanted;
     private final TimerService timers;
     private final RandomGenerator random;
     private final Listener listener;
-    private StoreRevision followed = StoreRevision.NONE;
-    private int watches;
+    private StoreRevision watchRevision = StoreRevision.NONE;
+    private int watchNumber;
     private int failures;
     private boolean idle;
 
     private StoreFollower(
             RegistryStore store,
             String prefix,
-            Duration gather,
+            Duration batchDelay,
             BooleanSupplier wanted,
             TimerService timers,
             RandomGenerator random,
             Listener listener) {
         this.store = store;
         this.prefix = prefix;
-        this.gather = gather;
+        this.batchDelay = batchDelay;
         this.wanted = wanted;
         this.timers = timers;
         this.random = random;
@@ -62,60 +62,60 @@
     }
 
     /**
-     * A follower that has not started.
+     * Creates a follower that has not started.
      *
-     * @param gather pause between two watches: a burst of changes is fetched by one call instead of one each
-     * @param wanted while false no further watch is made, until the follower is resumed
+     * @param batchDelay delay between two watches, so that one call fetches a burst of changes
+     * @param wanted while it returns false no further watch starts, until the follower is resumed
      */
     static StoreFollower create(
             RegistryStore store,
             String prefix,
-            Duration gather,
+            Duration batchDelay,
             BooleanSupplier wanted,
             TimerService timers,
             RandomGenerator random,
             Listener listener) {
-        return new StoreFollower(store, prefix, gather, wanted, timers, random, listener);
+        return new StoreFollower(store, prefix, batchDelay, wanted, timers, random, listener);
     }
 
-    /** Hears what the store holds, on the thread of the timers. */
+    /** Receives the entries of the store and their changes, on the timer thread. */
     interface Listener {
 
-        /** All entries there are now. */
+        /** Handles a listing of all current entries. */
         void onListing(Listing listing);
 
         void onChange(Entry entry);
 
-        /** Every change up to the revision has been told. */
+        /** Called when every change up to the revision has been delivered. */
         void onCaughtUp(StoreRevision revision);
 
-        /** Whether the last call was answered. */
+        /** Reports whether the store answered the last call. */
         void onStore(boolean reachable);
     }
 
-    /** Revision after which the present watch looks for changes; {@link StoreRevision#NONE} during a listing. */
-    StoreRevision followed() {
-        return followed;
+    /** Revision after which the current watch waits for changes; {@link StoreRevision#NONE} during a listing. */
+    StoreRevision watchRevision() {
+        return watchRevision;
     }
 
-    /** Goes on after the revision if no watch is under way or due. */
+    /** Resumes watching after the revision if no watch is in progress or scheduled. */
     void resume(StoreRevision revision) {
         if (idle) {
-            watch(StoreRevision.later(followed, revision));
+            watch(StoreRevision.later(watchRevision, revision));
         }
     }
 
-    /** Watches anew after a revision up to which all is known. */
-    void refreshFrom(StoreRevision revision) {
-        if (!followed.equals(StoreRevision.NONE)) {
-            watch(StoreRevision.later(followed, revision));
+    /** Replaces the current watch by one after a revision up to which all changes are known. */
+    void restartWatchFrom(StoreRevision revision) {
+        if (!watchRevision.equals(StoreRevision.NONE)) {
+            watch(StoreRevision.later(watchRevision, revision));
         }
     }
 
-    /** Lists the entries and follows them from then on; a watch under way is given up. */
+    /** Lists the entries and follows them from then on; the result of a watch in progress is ignored. */
     void start() {
-        watches++;
-        followed = StoreRevision.NONE;
+        watchNumber++;
+        watchRevision = StoreRevision.NONE;
         TimerThread.hear(timers, store.list(prefix), this::onListed);
     }
 
@@ -124,36 +124,36 @@
         failures = current ? 0 : failures + 1;
         listener.onStore(failure == null);
         if (!current) {
-            timers.after(pause(), this::start);
+            timers.after(retryDelay(), this::start);
             return;
         }
         listener.onListing(listing);
         listener.onCaughtUp(listing.revision());
-        watchOrRest(listing.revision());
+        watchOrIdle(listing.revision());
     }
 
-    /** Whether the revision is of the last era known: an answer from before the loss may arrive after it. */
+    /** Whether the revision belongs to the newest known era; an answer sent before a restore may arrive after it. */
     private boolean isCurrent(StoreRevision revision) {
         return revision.era() >= store.eras().newest();
     }
 
-    private Duration pause() {
-        Duration doubled = RETRY.multipliedBy(1L << Math.min(failures - 1, MAX_DOUBLINGS));
-        return Jitter.around(doubled.compareTo(LONGEST_RETRY) < 0 ? doubled : LONGEST_RETRY, random);
+    private Duration retryDelay() {
+        Duration doubled = RETRY_DELAY.multipliedBy(1L << Math.min(failures - 1, MAX_DOUBLINGS));
+        return Jitter.around(doubled.compareTo(MAX_RETRY_DELAY) < 0 ? doubled : MAX_RETRY_DELAY, random);
     }
 
-    private void watchOrRest(StoreRevision revision) {
+    private void watchOrIdle(StoreRevision revision) {
         if (wanted.getAsBoolean()) {
             watch(revision);
         } else {
-            followed = revision;
+            watchRevision = revision;
             idle = true;
         }
     }
 
-    /** Watches anew from where it stands: the watch under way may wait on a connection that is dead. */
-    void refresh() {
-        refreshFrom(followed);
+    /** Replaces the current watch by one after the same revision, as its connection may be dead. */
+    void restartWatch() {
+        restartWatchFrom(watchRevision);
     }
 
     private void watch(StoreRevision revision) {
@@ -162,10 +162,10 @@
             start();
             return;
         }
-        followed = revision;
-        int number = ++watches;
+        watchRevision = revision;
+        int number = ++watchNumber;
         TimerThread.hear(timers, store.changes(prefix, revision, WATCH), (changes, failure) -> {
-            if (number == watches) {
+            if (number == watchNumber) {
                 onWatched(revision, changes, failure);
             }
         });
@@ -175,24 +175,24 @@
         failures = failure == null ? 0 : failures + 1;
         listener.onStore(failure == null);
         if (failure != null) {
-            watchAfter(pause(), revision);
+            watchAfter(retryDelay(), revision);
         } else if (changes.historyGone() || !changes.revision().isSameEra(revision)) {
             log.atInfo().log(
-                    "the store knows nothing of %s after revision %s any more: it is listed again", prefix, revision);
+                    "the store no longer has the history of %s after revision %s: listing it again", prefix, revision);
             start();
         } else {
             changes.entries().forEach(listener::onChange);
             listener.onCaughtUp(changes.revision());
-            watchAfter(gather, changes.revision());
+            watchAfter(batchDelay, changes.revision());
         }
     }
 
-    private void watchAfter(Duration pause, StoreRevision revision) {
-        followed = revision;
-        int ended = watches;
-        timers.after(pause, () -> {
-            if (ended == watches) {
-                watchOrRest(revision);
+    private void watchAfter(Duration delay, StoreRevision revision) {
+        watchRevision = revision;
+        int endedWatch = watchNumber;
+        timers.after(delay, () -> {
+            if (endedWatch == watchNumber) {
+                watchOrIdle(revision);
             }
         });
     }
--- a/src/main/java/io/beryldock/store/StoreParts.java
+++ b/src/main/java/io/beryldock/store/StoreParts.java
@@ -8,12 +8,12 @@
 import io.beryldock.wire.StorePart;
 import java.util.Optional;
 
-/** Translates what nodes tell each other of the store. Stateless, thread safe. */
+/** Converts between entries of the store and the parts of the notices that nodes exchange. Stateless, thread safe. */
 final class StoreParts {
 
     private StoreParts() {}
 
-    /** A part without entries: the sender knows every change up to the revision. */
+    /** Starts a part without entries, whose sender knows every change up to the revision. */
     static StorePart.Builder part(String prefix, StoreRevision revision) {
         return StorePart.newBuilder().setPrefix(prefix).setEra(revision.era()).setRevision(revision.number());
     }
@@ -22,7 +22,7 @@
         return new StoreRevision(part.getEra(), part.getRevision());
     }
 
-    /** The revision after which the entries hold every change. */
+    /** The revision after which the part contains every change. */
     static StoreRevision since(StorePart part) {
         return new StoreRevision(part.getEra(), part.getSince());
     }
@@ -36,8 +36,8 @@
         return wire.build();
     }
 
-    /** Names the entry without telling its value. */
-    static StoreEntry mark(Entry entry) {
+    /** The entry with its key and revision but without its value. */
+    static StoreEntry withoutValue(Entry entry) {
         return entry(entry).toBuilder().clearValue().build();
     }
 
@@ -50,7 +50,7 @@
         return new Entry(wire.getKey(), new StoreRevision(wire.getEra(), wire.getRevision()), value);
     }
 
-    /** What a part that is whole lists. */
+    /** The listing that a complete part contains. */
     static Listing listing(StorePart part) {
         return new Listing(entries(part), revision(part));
     }
--- a/src/main/java/io/beryldock/store/StorePeers.java
+++ b/src/main/java/io/beryldock/store/StorePeers.java
@@ -6,22 +6,22 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** The other nodes, as far as they tell each other of the store. Called on the thread of the timers. */
+/** The connection to the other nodes for questions and notices about the store. Called on the timer thread. */
 public interface StorePeers {
 
-    /** All nodes of this data centre that are believed alive, this one included. */
+    /** All nodes of this data centre that are believed to be alive, including this node. */
     ImmutableSet<NodeId> ownDataCentre();
 
-    /** A node of another data centre, drawn by chance; empty when none is known. */
+    /** A random node of another data centre; empty when none is known. */
     Optional<NodeId> elsewhere();
 
-    /** Asks the node; the future fails when no answer comes in time and completes on any thread. */
+    /** Sends a question to the node. The future completes on any thread, and fails when no answer arrives in time. */
     CompletableFuture<ByteString> ask(NodeId node, ByteString question);
 
-    /** Sends a message that may be lost. */
+    /** Sends a message without confirmation; the message may be lost. */
     void send(NodeId node, ByteString message);
 
-    /** Nobody else: this node watches the store itself. */
+    /** Peers of a node that is alone and watches the store itself. */
     static StorePeers none(NodeId self) {
         return new StorePeers() {
 
--- a/src/main/java/io/beryldock/store/StoreAnswers.java
+++ b/src/main/java/io/beryldock/store/StoreQuestionHandler.java
@@ -9,12 +9,12 @@
 import java.util.Optional;
 
 /**
- * What this node tells another one that asks about the store: what it knows beyond that, and since when it knows that
- * there is no more.
+ * Answers the questions of other nodes about the store with the changes that the asking node lacks and with the age of
+ * this node's last verification.
  *
- * <p>Used on the thread of the followers only.
+ * <p>Used on the timer thread only.
  */
-final class StoreAnswers {
+final class StoreQuestionHandler {
 
     private final Map<String, SharedFollower> followers;
     private final Collection<SharedFollower> verified;
@@ -22,12 +22,12 @@
     private final StoreEras eras;
 
     /**
-     * Answers from followers that are added later too.
+     * Keeps references to both collections, so that followers added later are included in answers.
      *
-     * @param followers by their prefix
-     * @param verified those of the followers whose verification is told
+     * @param followers the followers by prefix
+     * @param verified the followers whose verification age is part of an answer
      */
-    StoreAnswers(
+    StoreQuestionHandler(
             Map<String, SharedFollower> followers,
             Collection<SharedFollower> verified,
             Moment.Source clock,
@@ -38,7 +38,7 @@
         this.eras = eras;
     }
 
-    StoreNotice to(StoreNotice question, boolean watching) {
+    StoreNotice answer(StoreNotice question, boolean watching) {
         StoreNotice.Builder answer =
                 StoreNotice.newBuilder().setEra(eras.newest()).setWatching(watching);
         for (StorePart known : question.getPartsList()) {
@@ -54,7 +54,7 @@
         StoreRevision revision = StoreParts.revision(known);
         boolean newer = follower.revision().isAfter(revision);
         Optional<Moment> since = verified.contains(follower) ? follower.verified() : Optional.empty();
-        Optional<Entry> kept = follower.kept().filter(entry -> !isMarked(known, entry));
+        Optional<Entry> kept = follower.kept().filter(entry -> !isKnown(known, entry));
         if (!newer && since.isEmpty() && kept.isEmpty()) {
             return Optional.empty();
         }
@@ -68,8 +68,8 @@
         return Optional.of(part.build());
     }
 
-    /** Whether the asker goes by the same entry. */
-    private static boolean isMarked(StorePart known, Entry kept) {
+    /** Whether the asking node applies the same retained entry. */
+    private static boolean isKnown(StorePart known, Entry kept) {
         return known.hasKept() && StoreParts.entry(known.getKept()).revision().equals(kept.revision());
     }
 }
--- a/src/main/java/io/beryldock/store/StoreRecovery.java
+++ b/src/main/java/io/beryldock/store/StoreRecovery.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * Tells parts that wait on the store that it answers again after it had not.
+ * Notifies subscribers when the store answers again after failed calls.
  *
- * <p>Guards against a watch that waits on a connection which an outage has silenced: it would miss changes until its
- * own long wait is over. Short calls that are made anyway, the renewals of a lease, show the outage and its end.
+ * <p>Guards against a watch that waits on a connection which an outage has silenced: such a watch would miss changes
+ * until its long wait times out. Short calls that are made anyway, such as lease renewals, detect the outage and its end.
  *
- * <p>Used on the thread of the timers only.
+ * <p>Used on the timer thread only.
  */
 public final class StoreRecovery {
 
@@ -22,16 +22,16 @@
         return new StoreRecovery();
     }
 
-    /** Runs the task each time that the store answers again. */
+    /** Subscribes a task that runs each time the store answers again. */
     public void subscribe(Runnable task) {
         subscribers.add(task);
     }
 
-    /** A short call ended. */
+    /** Reports the end of a short call; {@code answered} is false when it failed. */
     public void onCall(boolean answered) {
-        boolean back = failing && answered;
+        boolean recovered = failing && answered;
         failing = !answered;
-        if (back) {
+        if (recovered) {
             subscribers.forEach(Runnable::run);
         }
     }
--- a/src/main/java/io/beryldock/store/StoreRevision.java
+++ b/src/main/java/io/beryldock/store/StoreRevision.java
@@ -3,17 +3,17 @@
 import java.util.Comparator;
 
 /**
- * A place in the history of the store: a revision and the era of the store that gave it out.
+ * A position in the history of the store: a revision number and the era of the store that assigned it.
  *
- * <p>Immutable. All revisions of an era come after those of earlier ones. Numbers alone don't tell which of two changes
- * is later: a store that came back from an older copy gives the same ones out again.
+ * <p>Immutable. All revisions of an era come after those of earlier eras. Numbers alone don't order changes, as a store
+ * that was restored from an older copy assigns the same numbers again.
  *
- * @param era rises each time that the store comes back from an older copy
+ * @param era rises each time the store is restored from an older copy
  * @param number rises with each change within an era
  */
 public record StoreRevision(long era, long number) implements Comparable<StoreRevision> {
 
-    /** Before any revision. */
+    /** The position before all revisions. */
     public static final StoreRevision NONE = new StoreRevision(StoreEras.NONE, 0);
 
     private static final Comparator<StoreRevision> ORDER =
--- a/src/main/java/io/beryldock/store/StoreSharing.java
+++ b/src/main/java/io/beryldock/store/StoreSharing.java
@@ -21,42 +21,43 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Follows the store on behalf of all nodes of a data centre: one of them watches it and sends what changes to the
- * others.
+ * Follows the store on behalf of all nodes of a data centre: one node, the watcher, watches the store and forwards
+ * changes to the others.
  *
- * <p>Guards against calls that grow with the square of the fleet: a change wakes the watch of each node, which has to
- * be made again. Each second a node asks the watcher whether it knows more; that brings what a lost message held, and a
- * watcher that does not answer is replaced. Watchers ask in the other data centres too, so that one whose own watch has
- * gone silent learns of it; where there is no other data centre two nodes watch.
+ * <p>Guards against a number of store calls that grows with the square of the number of nodes: without sharing, each
+ * change completes the watch of every node, and every node has to start a new watch. Each second a node asks the watcher
+ * for later changes, which recovers the content of lost messages; a watcher that does not answer is replaced. Watchers
+ * also ask nodes of other data centres, which detects a watch whose connection has gone silent. If there is no other
+ * data centre, two nodes watch.
  *
- * <p>Used on the thread of the timers only.
+ * <p>Used on the timer thread only.
  */
 public final class StoreSharing {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int LOG_SECONDS = 10;
 
-    /** How often a node asks: bounds how long it stays behind after a message was lost. */
+    /** Period of the questions to the watcher; bounds how long a node lags after a message was lost. */
     private static final Duration QUESTION_PERIOD = Duration.ofSeconds(1);
 
     /**
-     * Age of the last verification from which on a node asks the store itself. The watcher's is up to one period old
-     * and told within another; one period more is left for the loss of a watcher.
+     * Age of the last verification above which a node asks the store itself. The watcher's verification is up to one
+     * period old and reaches the other nodes within a second period; the rest allows for the loss of a watcher.
      */
-    private static final Duration RELIANCE = Duration.ofMillis(2500);
+    private static final Duration MAX_VERIFICATION_AGE = Duration.ofMillis(2500);
 
-    /** First look at the others: when all nodes start at once, some have written their entries by then. */
-    private static final Duration SETTLE = Duration.ofMillis(500);
+    /** Delay of the first election: when all nodes start at once, some have written their entries by then. */
+    private static final Duration FIRST_ELECTION_DELAY = Duration.ofMillis(500);
 
     /**
-     * Time after the start in which a node that knows any entries leaves watching to others, as it does not know all of
-     * them yet and may take itself for the watcher. 27 nodes that started at once made 480 calls of the store in their
-     * first 15 s without it.
+     * Time after the start during which a node that knows any entries does not watch if it knows other nodes. It may
+     * not know all nodes yet and could wrongly choose itself as the watcher. Without this period 27 nodes that started
+     * at once made 480 calls of the store in their first 15 s.
      */
-    private static final long YOUTH = Duration.ofSeconds(3).toNanos();
+    private static final long STARTUP_PERIOD = Duration.ofSeconds(3).toNanos();
 
-    /** The answer that named a new era may be a listing, which is not made twice. */
-    private static final Duration ERA_SETTLE = Duration.ofMillis(50);
+    /** Delay before a new era is entered: the answer that reported it may be a listing, which need not be repeated. */
+    private static final Duration ERA_CHANGE_DELAY = Duration.ofMillis(50);
 
     private final NodeId self;
     private final Ports ports;
@@ -64,19 +65,19 @@
     private final WatcherChoice choice;
     private final Map<String, SharedFollower> followers = new LinkedHashMap<>();
     private final List<SharedFollower> verified = new ArrayList<>();
-    private final StoreAnswers answers;
-    private boolean storeAnswers = true;
+    private final StoreQuestionHandler questionHandler;
+    private boolean storeReachable = true;
 
     private StoreSharing(NodeId self, Ports ports) {
         this.self = self;
         this.ports = ports;
         this.startedAt = now(ports);
         this.choice = new WatcherChoice(self, startedAt);
-        this.answers = new StoreAnswers(
+        this.questionHandler = new StoreQuestionHandler(
                 followers, verified, ports.clock(), ports.store().eras());
     }
 
-    /** What the sharing works with; the timers run on the control thread. */
+    /** Dependencies of the sharing; the timers run on the control thread. */
     public record Ports(
             RegistryStore store,
             StoreRecovery recovery,
@@ -87,8 +88,8 @@
 
     public static StoreSharing create(NodeId self, Ports ports) {
         StoreSharing sharing = new StoreSharing(self, ports);
-        ports.store().eras().onRise(ports.timers(), () -> ports.timers().after(ERA_SETTLE, sharing::enterEra));
-        ports.timers().after(SETTLE, sharing::tick);
+        ports.store().eras().onRise(ports.timers(), () -> ports.timers().after(ERA_CHANGE_DELAY, sharing::enterEra));
+        ports.timers().after(FIRST_ELECTION_DELAY, sharing::tick);
         ports.timers().every(QUESTION_PERIOD, sharing::tick);
         return sharing;
     }
@@ -96,37 +97,38 @@
     /**
      * Follows the entries under the prefix.
      *
-     * @param gather pause between two watches: changes that come together are fetched by one call
+     * @param batchDelay delay between two watches, so that one call fetches a burst of changes
      */
-    public void follow(String prefix, Duration gather, EntryListener listener) {
-        add(prefix, gather, listener);
+    public void follow(String prefix, Duration batchDelay, EntryListener listener) {
+        add(prefix, batchDelay, listener);
     }
 
     /**
-     * Follows the entries and keeps knowing since when nothing newer was in the store.
+     * Follows the entries under the prefix and verifies continuously that the store has nothing newer.
      *
-     * <p>Costs a reading a second and data centre: one node asks the store, the others ask it. Guards against a node
-     * that goes on by entries that were changed while it could not hear of it: cut off, turned away, or suspended.
+     * <p>Costs one listing per second and data centre: the watcher asks the store, and the other nodes ask the watcher.
+     * Guards against a node that applies outdated entries because it was partitioned, rejected by the store or
+     * suspended when they changed.
      */
-    public Verification followVerified(String prefix, Duration gather, EntryListener listener) {
-        SharedFollower follower = add(prefix, gather, listener);
+    public Verification followVerified(String prefix, Duration batchDelay, EntryListener listener) {
+        SharedFollower follower = add(prefix, batchDelay, listener);
         verified.add(follower);
         return () ->
                 follower.verified().map(moment -> moment.ageNanos(ports.clock().now()));
     }
 
-    /** Tells how old the knowledge is that the store has nothing newer. Thread safe. */
+    /** The age of the last verification that the store has nothing newer. Thread safe. */
     @FunctionalInterface
     public interface Verification {
 
-        /** Age in nanoseconds; empty when it was never known. */
+        /** Age in nanoseconds; empty before the first verification. */
         Optional<Long> ageNanos();
     }
 
-    private SharedFollower add(String prefix, Duration gather, EntryListener listener) {
+    private SharedFollower add(String prefix, Duration batchDelay, EntryListener listener) {
         SharedFollower follower = new SharedFollower(
                 prefix,
-                gather,
+                batchDelay,
                 listener,
                 new FollowerOwner(),
                 ports.store(),
@@ -134,12 +136,12 @@
                 ports.clock(),
                 ports.random());
         followers.put(prefix, follower);
-        ports.recovery().subscribe(follower::refresh);
+        ports.recovery().subscribe(follower::restartWatch);
         follower.start();
         return follower;
     }
 
-    /** Takes a message of another node; only a question is replied to. */
+    /** Handles a message of another node; only questions get a reply. */
     public void onMessage(NodeId sender, ByteString body, Consumer<ByteString> reply) {
         Optional<StoreNotice> notice = read(sender, body);
         if (notice.isEmpty()) {
@@ -147,9 +149,9 @@
         }
         eras().note(notice.get().getEra());
         if (notice.get().getQuestion()) {
-            reply.accept(answers.to(notice.get(), watching()).toByteString());
+            reply.accept(questionHandler.answer(notice.get(), watching()).toByteString());
         } else {
-            take(sender, notice.get());
+            apply(sender, notice.get());
         }
     }
 
@@ -158,7 +160,7 @@
             return Optional.of(StoreNotice.parseFrom(body));
         } catch (InvalidProtocolBufferException e) {
             log.atWarning().withCause(e).atMostEvery(LOG_SECONDS, TimeUnit.SECONDS).log(
-                    "node %s sent a malformed notice of the store", sender);
+                    "node %s sent a malformed store notice", sender);
             return Optional.empty();
         }
     }
@@ -171,7 +173,7 @@
         elect();
         followers.values().forEach(SharedFollower::replaceSilentWatch);
         ImmutableSet<NodeId> members = ports.peers().ownDataCentre();
-        choice.nextToAsk(members, watchers(), now(ports)).ifPresent(this::ask);
+        choice.nextToAsk(members, watcherCount(), now(ports)).ifPresent(this::ask);
         if (isWatcher()) {
             ports.peers().elsewhere().ifPresent(this::ask);
             probe();
@@ -180,17 +182,17 @@
         }
     }
 
-    /** Nobody could tell this node for a while: it asks the store itself. */
+    /** Whether the last verification is too old, so that this node has to ask the store itself. */
     private boolean isUnverified(SharedFollower follower) {
         Moment now = ports.clock().now();
         return follower.verified()
-                .filter(moment -> moment.ageNanos(now) <= RELIANCE.toNanos())
+                .filter(moment -> moment.ageNanos(now) <= MAX_VERIFICATION_AGE.toNanos())
                 .isEmpty();
     }
 
     /**
-     * A short call of the store, so that a watcher that the store turns away in silence is known as one within two
-     * seconds and not only when its long watch ends.
+     * Makes a short call of the store, which detects within two seconds that the store does not answer this watcher;
+     * the long watch alone would detect it only at its timeout.
      */
     private void probe() {
         if (!verified.isEmpty()) {
@@ -201,11 +203,11 @@
     }
 
     private void onStoreCall(boolean answered) {
-        boolean changed = storeAnswers != answered;
-        storeAnswers = answered;
+        boolean changed = storeReachable != answered;
+        storeReachable = answered;
         if (changed) {
             log.atInfo().log(answered ? "the store answers again" : "the store does not answer");
-            tellOwnDataCentre(notice());
+            notifyOwnDataCentre(notice());
         }
         ports.recovery().onCall(answered);
     }
@@ -221,8 +223,10 @@
 
     private void elect() {
         boolean watcher = isWatcher();
-        boolean relies = now(ports) - startedAt < YOUTH && knowsOthers();
-        followers.values().forEach(follower -> follower.setWatcher(watcher && !(relies && follower.knowsEntries())));
+        boolean reliesOnOthers = now(ports) - startedAt < STARTUP_PERIOD && knowsOthers();
+        followers
+                .values()
+                .forEach(follower -> follower.setWatcher(watcher && !(reliesOnOthers && follower.knowsEntries())));
     }
 
     private boolean knowsOthers() {
@@ -231,11 +235,11 @@
     }
 
     private boolean isWatcher() {
-        return choice.isWatcher(ports.peers().ownDataCentre(), watchers(), now(ports));
+        return choice.isWatcher(ports.peers().ownDataCentre(), watcherCount(), now(ports));
     }
 
-    private int watchers() {
-        return ports.peers().elsewhere().isPresent() ? WatcherChoice.BESIDE_OTHERS : WatcherChoice.ALONE;
+    private int watcherCount() {
+        return ports.peers().elsewhere().isPresent() ? WatcherChoice.WITH_OTHER_CENTRES : WatcherChoice.ALONE;
     }
 
     private void ask(NodeId node) {
@@ -250,7 +254,7 @@
 
     private static StorePart known(String prefix, SharedFollower follower) {
         StorePart.Builder part = StoreParts.part(prefix, follower.revision());
-        follower.kept().ifPresent(entry -> part.setKept(StoreParts.mark(entry)));
+        follower.kept().ifPresent(entry -> part.setKept(StoreParts.withoutValue(entry)));
         return part.build();
     }
 
@@ -262,15 +266,15 @@
         Optional<StoreNotice> notice = read(node, answer);
         if (notice.isPresent()) {
             eras().note(notice.get().getEra());
-            take(node, notice.get());
+            apply(node, notice.get());
             noteVerified(asked, notice.get());
         }
     }
 
     /**
-     * What the other node had verified when it answered was so at the question, less the age that it names.
+     * Records the verifications of another node's answer, dated at the question minus the age in the answer.
      *
-     * <p>Counted from the question by this node's own clocks: an answer may have waited anywhere on its way.
+     * <p>The age is counted from the question by this node's own clocks, as the answer may have been delayed.
      */
     private void noteVerified(Moment asked, StoreNotice answer) {
         for (StorePart part : answer.getPartsList()) {
@@ -281,37 +285,37 @@
         }
     }
 
-    /** The next node in rank may be this one: it watches at once. */
+    /** Suspects the node and elects again at once, as this node may be the next in rank. */
     private void suspect(NodeId node) {
         choice.suspect(node, now(ports));
         elect();
     }
 
     private boolean watching() {
-        return storeAnswers && isWatcher();
+        return storeReachable && isWatcher();
     }
 
-    private void take(NodeId sender, StoreNotice notice) {
-        choice.heard(sender, notice.getWatching(), now(ports));
-        boolean whole = true;
+    private void apply(NodeId sender, StoreNotice notice) {
+        choice.onMessage(sender, notice.getWatching(), now(ports));
+        boolean complete = true;
         for (StorePart part : notice.getPartsList()) {
             SharedFollower follower = followers.get(part.getPrefix());
             if (follower != null) {
                 StoreRevision before = follower.revision();
-                whole &= follower.take(part);
-                passOn(follower, before, sender);
+                complete &= follower.apply(part);
+                forwardChanges(follower, before, sender);
             }
         }
-        if (!notice.getWatching() || isBehind(notice)) {
+        if (!notice.getWatching() || isOfEarlierEra(notice)) {
             suspect(sender);
         }
-        if (!whole) {
+        if (!complete) {
             ask(sender);
         }
     }
 
-    /** The sender may have been suspended or cut off: what it follows ended with an earlier era of the store. */
-    private boolean isBehind(StoreNotice notice) {
+    /** Whether the sender still follows an earlier era of the store, for example after a suspension or a partition. */
+    private boolean isOfEarlierEra(StoreNotice notice) {
         return notice.getEra() < eras().newest();
     }
 
@@ -319,32 +323,32 @@
         return StoreNotice.newBuilder().setEra(eras().newest());
     }
 
-    /** What a watcher hears of another data centre is news to its own: the store may turn this one away. */
-    private void passOn(SharedFollower follower, StoreRevision before, NodeId sender) {
-        boolean news = follower.revision().isAfter(before);
-        if (news && !ports.peers().ownDataCentre().contains(sender)) {
-            tellOwnDataCentre(notice().addParts(follower.since(before)));
+    /** Forwards changes received from another data centre to the own one, as the store may reject this data centre. */
+    private void forwardChanges(SharedFollower follower, StoreRevision before, NodeId sender) {
+        boolean changed = follower.revision().isAfter(before);
+        if (changed && !ports.peers().ownDataCentre().contains(sender)) {
+            notifyOwnDataCentre(notice().addParts(follower.since(before)));
         }
     }
 
-    private void tellOwnDataCentre(StoreNotice.Builder news) {
+    private void notifyOwnDataCentre(StoreNotice.Builder update) {
         if (!isWatcher()) {
             return;
         }
         ImmutableSet<NodeId> members = ports.peers().ownDataCentre();
-        ByteString body = news.setWatching(storeAnswers).build().toByteString();
+        ByteString body = update.setWatching(storeReachable).build().toByteString();
         members.stream()
                 .filter(node -> !node.equals(self))
                 .forEach(node -> ports.peers().send(node, body));
     }
 
-    /** Takes what the followers hear of the store. */
+    /** Handles the events of the followers. */
     private final class FollowerOwner implements SharedFollower.Owner {
 
         @Override
-        public void onNews(SharedFollower follower) {
-            if (follower.revision().isAfter(follower.told())) {
-                tellOwnDataCentre(notice().addParts(follower.since(follower.told())));
+        public void onChanges(SharedFollower follower) {
+            if (follower.revision().isAfter(follower.forwardedRevision())) {
+                notifyOwnDataCentre(notice().addParts(follower.since(follower.forwardedRevision())));
             }
         }
 
--- a/src/main/java/io/beryldock/store/StoredValue.java
+++ b/src/main/java/io/beryldock/store/StoredValue.java
@@ -2,5 +2,5 @@
 
 import com.google.protobuf.ByteString;
 
-/** A value and the version that the store gave it, above 0 and rising with each write of the key. Immutable. */
+/** A value with its version, which is above 0 and rises with each write of the key. Immutable. */
 public record StoredValue(long version, ByteString value) {}
--- a/src/main/java/io/beryldock/store/WriteResult.java
+++ b/src/main/java/io/beryldock/store/WriteResult.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 
 /**
- * What became of a compare-and-set. Immutable.
+ * The result of a compare-and-set. Immutable.
  *
- * @param version the new version when applied, else 0
- * @param current the value in the way when there was a conflict
+ * @param version the new version if the write was applied, otherwise 0
+ * @param current the stored value that caused a conflict
  */
 public record WriteResult(Kind kind, long version, Optional<StoredValue> current) {
 
-    /** The ways a compare-and-set ends. */
+    /** Possible outcomes of a compare-and-set. */
     public enum Kind {
         APPLIED,
         CONFLICT,
-        /** The store can't be reached and the write has not taken effect. */
+        /** The write has not taken effect and won't: the store is unreachable or rejected the write. */
         NOT_APPLIED,
-        /** No answer came: the write may have taken effect. Read back to settle it. */
+        /** No answer arrived: the write may have taken effect, and the caller has to read the key to find out. */
         UNKNOWN
     }
 
--- a/src/main/java/io/beryldock/store/package-info.java
+++ b/src/main/java/io/beryldock/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The platform's key-value service as a port, with the adapters to it and an in-memory fake whose faults can be
- * switched on.
+ * Client interfaces of the platform's key-value service, their implementations, and an in-memory store that simulates
+ * faults.
  */
 package io.beryldock.store;
--- a/src/main/java/io/beryldock/time/Jitter.java
+++ b/src/main/java/io/beryldock/time/Jitter.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 import java.util.random.RandomGenerator;
 
-/** Spreads what many nodes do at once. Stateless, thread safe when the generator is. */
+/** Randomises delays so that many nodes don't act at the same time. Stateless; thread safe if the generator is. */
 public final class Jitter {
 
     private Jitter() {}
 
-    /** Evenly between half of the delay and one and a half, so that its mean is kept; the delay is above 0. */
+    /** A delay uniformly distributed between 0.5 and 1.5 times the given one, which must be above 0; keeps the mean. */
     public static Duration around(Duration delay, RandomGenerator random) {
         long nanos = delay.toNanos();
         return Duration.ofNanos(nanos / 2 + random.nextLong(nanos));
--- a/src/main/java/io/beryldock/time/ManualTimerService.java
+++ b/src/main/java/io/beryldock/time/ManualTimerService.java
@@ -5,9 +5,9 @@
 import java.util.PriorityQueue;
 
 /**
- * A timer service whose time moves only when told, for seeded runs and tests.
+ * A timer service whose time is advanced by explicit calls, for seeded runs and tests.
  *
- * <p>Tasks run on the thread that moves the time, in order of their due time, then of subscription. Not thread safe.
+ * <p>Tasks run on the thread that advances the time, ordered by due time and then by subscription. Not thread safe.
  */
 public final class ManualTimerService implements TimerService {
 
@@ -32,7 +32,7 @@
     @Override
     public Subscription every(Duration period, Runnable task) {
         Repetition repetition = new Repetition(period, task);
-        repetition.arm();
+        repetition.schedule();
         return repetition::cancel;
     }
 
@@ -41,7 +41,7 @@
         return () -> now;
     }
 
-    /** Moves the time on and runs all that falls due on the way. */
+    /** Advances the time by the step and runs all tasks that fall due. */
     public void advance(Duration step) {
         long end = now + step.toNanos();
         while (!queue.isEmpty() && queue.peek().due() <= end) {
@@ -52,7 +52,7 @@
         now = end;
     }
 
-    /** Due time of the next task, or {@link Long#MAX_VALUE} when none waits. */
+    /** Due time of the next task, or {@link Long#MAX_VALUE} when no task is pending. */
     public long nextDue() {
         return queue.isEmpty() ? Long.MAX_VALUE : queue.peek().due();
     }
@@ -69,12 +69,12 @@
             this.task = task;
         }
 
-        void arm() {
+        void schedule() {
             current = after(period, this::fire);
         }
 
         void fire() {
-            arm();
+            schedule();
             task.run();
         }
 
--- a/src/main/java/io/beryldock/time/Moment.java
+++ b/src/main/java/io/beryldock/time/Moment.java
@@ -3,40 +3,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A point in time of this process, by its steady clock and by the time of day. Immutable.
+ * A point in time of this process, read from its monotonic clock and its wall clock. Immutable.
  *
- * <p>The steady clock stands still while a VM is suspended; the time of day does not, but may be set back. An age is
- * the greater of what the two say, so that what was known before a suspension never looks young after it.
+ * <p>The monotonic clock stops while a VM is suspended; the wall clock does not, but may be set back. An age is the
+ * greater of the two differences, so that information from before a suspension never appears recent after it.
  *
- * @param nanos of the steady clock
- * @param wallMillis of the time of day
+ * @param nanos reading of the monotonic clock in nanoseconds
+ * @param wallMillis reading of the wall clock in milliseconds
  */
 public record Moment(long nanos, long wallMillis) {
 
-    /** Tells the present moment. Thread safe. */
+    /** Supplies the current moment. Thread safe. */
     @FunctionalInterface
     public interface Source {
 
         Moment now();
 
-        /** The clocks of this process. */
+        /** A source that reads the clocks of this process. */
         static Source system() {
             return () -> new Moment(System.nanoTime(), System.currentTimeMillis());
         }
     }
 
-    /** Time from this moment to the later one, in nanoseconds; never less than the steady clock says. */
+    /** Time from this moment to the later one, in nanoseconds; never less than by the monotonic clock. */
     public long ageNanos(Moment later) {
         long byWall = TimeUnit.MILLISECONDS.toNanos(later.wallMillis - wallMillis);
         return Math.max(later.nanos - nanos, byWall);
     }
 
-    /** The moment that lies so much earlier. */
-    public Moment minusNanos(long earlier) {
-        return new Moment(nanos - earlier, wallMillis - TimeUnit.NANOSECONDS.toMillis(earlier));
+    /** The moment that is the given number of nanoseconds earlier. */
+    public Moment minusNanos(long duration) {
+        return new Moment(nanos - duration, wallMillis - TimeUnit.NANOSECONDS.toMillis(duration));
     }
 
-    /** Whether this moment is later than the other one by the steady clock. */
+    /** Whether this moment is later than the other by the monotonic clock. */
     public boolean isAfter(Moment other) {
         return nanos > other.nanos;
     }
--- a/src/main/java/io/beryldock/time/ScheduledTimers.java
+++ b/src/main/java/io/beryldock/time/ScheduledTimers.java
@@ -9,16 +9,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A timer service on a scheduler, which hands due tasks to an executor.
+ * A timer service that uses a scheduler and passes due tasks to an executor.
  *
- * <p>Thread safe. A task that throws is logged and goes on being repeated; a scheduler that was shut down runs nothing
- * more. Who started the scheduler stops it.
+ * <p>Thread safe. An exception of a task is logged, and a repeated task continues. After the scheduler was shut down no
+ * further task runs. The caller that started the scheduler has to shut it down.
  */
 public final class ScheduledTimers implements TimerService {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
-    private static final Subscription AFTER_CLOSE = () -> {};
+    private static final Subscription CANCELLED_SUBSCRIPTION = () -> {};
 
     private final ScheduledExecutorService scheduler;
     private final Executor executor;
@@ -35,9 +35,9 @@
     @Override
     public Subscription after(Duration delay, Runnable task) {
         try {
-            return cancelling(scheduler.schedule(() -> hand(task), delay.toNanos(), TimeUnit.NANOSECONDS));
+            return cancelling(scheduler.schedule(() -> submit(task), delay.toNanos(), TimeUnit.NANOSECONDS));
         } catch (RejectedExecutionException e) {
-            return AFTER_CLOSE;
+            return CANCELLED_SUBSCRIPTION;
         }
     }
 
@@ -45,9 +45,9 @@
     public Subscription every(Duration period, Runnable task) {
         long nanos = period.toNanos();
         try {
-            return cancelling(scheduler.scheduleWithFixedDelay(() -> hand(task), nanos, nanos, TimeUnit.NANOSECONDS));
+            return cancelling(scheduler.scheduleWithFixedDelay(() -> submit(task), nanos, nanos, TimeUnit.NANOSECONDS));
         } catch (RejectedExecutionException e) {
-            return AFTER_CLOSE;
+            return CANCELLED_SUBSCRIPTION;
         }
     }
 
@@ -56,11 +56,11 @@
         return Ticker.system();
     }
 
-    private void hand(Runnable task) {
+    private void submit(Runnable task) {
         try {
             executor.execute(() -> runLogged(task));
         } catch (RejectedExecutionException e) {
-            log.atFine().withCause(e).log("a timer task came after the stop of its executor");
+            log.atFine().withCause(e).log("timer task discarded: its executor has been shut down");
         }
     }
 
--- a/src/main/java/io/beryldock/time/ThreadTimerService.java
+++ b/src/main/java/io/beryldock/time/ThreadTimerService.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 
 /**
- * The timer service of a running process: one thread that hands due tasks to an executor.
+ * The timer service of a running process: one thread that passes due tasks to an executor.
  *
- * <p>Thread safe. A task that throws is logged and goes on being repeated.
+ * <p>Thread safe. An exception of a task is logged, and a repeated task continues.
  */
 public final class ThreadTimerService implements TimerService, AutoCloseable {
 
@@ -19,7 +19,7 @@
         this.timers = ScheduledTimers.on(thread, executor);
     }
 
-    /** Starts the timer thread; {@code executor} runs the tasks. */
+    /** Starts the timer thread with the given name; {@code executor} runs the tasks. */
     public static ThreadTimerService start(String threadName, Executor executor) {
         ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, task -> daemon(task, threadName));
         thread.setRemoveOnCancelPolicy(true);
--- a/src/main/java/io/beryldock/time/Ticker.java
+++ b/src/main/java/io/beryldock/time/Ticker.java
@@ -1,6 +1,6 @@
 package io.beryldock.time;
 
-/** Monotonic time of one process in nanoseconds; compare only values of the same ticker. Thread safe. */
+/** Monotonic clock of one process in nanoseconds; only readings of the same ticker are comparable. Thread safe. */
 @FunctionalInterface
 public interface Ticker {
 
--- a/src/main/java/io/beryldock/time/TimerService.java
+++ b/src/main/java/io/beryldock/time/TimerService.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 
 /**
- * The one timer of a process, to which parts subscribe.
+ * Schedules delayed and periodic tasks; the components of a process share one timer service.
  *
- * <p>Thread safe. Tasks run on the executor that the implementation was given, never on the subscriber's thread.
+ * <p>Thread safe. Tasks run on the executor of the implementation, never on the subscriber's thread.
  */
 public interface TimerService {
 
     /** Runs the task once after the delay. */
     Subscription after(Duration delay, Runnable task);
 
-    /** Runs the task again and again, the first time after one period. */
+    /** Runs the task periodically, the first time after one period. */
     Subscription every(Duration period, Runnable task);
 
     Ticker ticker();
 
-    /** A task that can still be taken back. */
+    /** Handle of a scheduled task. */
     @FunctionalInterface
     interface Subscription {
 
-        /** Takes the task back; without effect when it has run. */
+        /** Cancels the task; has no effect on a one-time task that has already run. */
         void cancel();
     }
 }
--- a/src/main/java/io/beryldock/time/TimerThread.java
+++ b/src/main/java/io/beryldock/time/TimerThread.java
@@ -5,12 +5,12 @@
 import java.util.concurrent.CompletionException;
 import java.util.function.BiConsumer;
 
-/** Brings ends of calls to the thread of a timer service, where state is kept without locks. Stateless. */
+/** Runs the completion handlers of calls on the thread of a timer service, which needs no locks. Stateless. */
 public final class TimerThread {
 
     private TimerThread() {}
 
-    /** Runs the task on the timers' thread once the call has ended; the failure is null when it went well. */
+    /** Runs the task on the timer thread once the call has completed; the failure is null if the call succeeded. */
     public static <T> void hear(TimerService timers, CompletableFuture<T> call, BiConsumer<T, Throwable> task) {
         call.whenComplete(
                 (value, failure) -> timers.after(Duration.ZERO, () -> task.accept(value, unwrapped(failure))));
--- a/src/main/java/io/beryldock/time/package-info.java
+++ b/src/main/java/io/beryldock/time/package-info.java
@@ -1,2 +1,2 @@
-/** Injected time: a monotonic ticker and one timer service that parts subscribe to. */
+/** Injectable clocks and the timer service that schedules the tasks of a process. */
 package io.beryldock.time;
--- a/src/test/java/io/beryldock/store/EntryTableTest.java
+++ b/src/test/java/io/beryldock/store/EntryTableTest.java
@@ -32,7 +32,7 @@
 
     private void list(long revision, Entry... entries) {
         Listing listing = new Listing(ImmutableList.copyOf(entries), at(revision));
-        table.changesTo(listing).forEach(change -> table.take(change, 0));
+        table.changesTo(listing).forEach(change -> table.apply(change, 0));
         table.advance(at(revision));
     }
 
@@ -45,10 +45,10 @@
     /** Story: a target that left gets orders again: a message that was overtaken brought its old entry back. */
     @Test
     void olderChangeOfAKeyIsNoNews() {
-        table.take(entry("p/a", 5), 0);
-        table.take(removal("p/a", 7), 0);
-        assertThat(table.isNews(entry("p/a", 6))).isFalse();
-        assertThat(table.isNews(entry("p/a", 8))).isTrue();
+        table.apply(entry("p/a", 5), 0);
+        table.apply(removal("p/a", 7), 0);
+        assertThat(table.isNewer(entry("p/a", 6))).isFalse();
+        assertThat(table.isNewer(entry("p/a", 8))).isTrue();
     }
 
     /** Story: after the store dropped its history a copy behind the rest lists entries that have long gone. */
@@ -79,7 +79,7 @@
     @Test
     void nodeThatLaggedLongIsSentAllThereIs() {
         list(1, entry("p/a", 1));
-        table.take(removal("p/a", 2), 0);
+        table.apply(removal("p/a", 2), 0);
         table.advance(at(2));
         assertThat(table.since(at(1), 0).getWhole()).isFalse();
         assertThat(table.since(at(1), LATER).getWhole()).isTrue();
@@ -94,9 +94,9 @@
     @Test
     void lowerRevisionOfALaterEraIsNews() {
         list(9, entry("p/a", 9));
-        assertThat(table.isNews(inLaterEra(entry("p/a", 4)))).isTrue();
-        table.take(inLaterEra(entry("p/a", 4)), 0);
-        assertThat(table.isNews(entry("p/a", 10))).isFalse();
+        assertThat(table.isNewer(inLaterEra(entry("p/a", 4)))).isTrue();
+        table.apply(inLaterEra(entry("p/a", 4)), 0);
+        assertThat(table.isNewer(entry("p/a", 10))).isFalse();
     }
 
     /** Guards against a change that the store lost and an answer which was under way for long brings back. */
@@ -104,7 +104,7 @@
     void changeOfAnEarlierEraIsNoNews() {
         list(9, entry("p/a", 5));
         table.advance(new StoreRevision(2, 5));
-        assertThat(table.isNews(entry("p/lost", 8))).isFalse();
+        assertThat(table.isNewer(entry("p/lost", 8))).isFalse();
     }
 
     /** Guards against a listing of the store's copy that is taken for one of a copy that lags. */
--- a/src/test/java/io/beryldock/store/StoreSharingTest.java
+++ b/src/test/java/io/beryldock/store/StoreSharingTest.java
@@ -73,7 +73,7 @@
                 .filter(node -> new WatcherChoice(node, timers.ticker().nanos())
                         .isWatcher(
                                 members,
-                                WatcherChoice.BESIDE_OTHERS,
+                                WatcherChoice.WITH_OTHER_CENTRES,
                                 timers.ticker().nanos()))
                 .map(NodeId::value)
                 .toList();
