--- a/src/main/java/io/beryldock/timeline/Event.java
+++ b/src/main/java/io/beryldock/timeline/Event.java
@@ -8,15 +8,15 @@
 import java.util.Optional;
 
 /**
- * Something that happened at one node.
+ * An event recorded by one node.
  *
- * <p>Immutable. Node and time together name one event in the whole deployment.
+ * <p>Immutable. Node and time together identify an event within the whole deployment.
  *
- * @param id rises with each event of one start of the node
- * @param request the root request it is about; of a counted event, one request picked at random from those counted
- * @param subject what it is about: a service, node, route or class
+ * @param id rises with each event that the node records from one start to the next
+ * @param request the root request of the event; for an aggregated event, one of its requests, chosen at random
+ * @param subject the service, node, route or class that the event concerns
  * @param detail a short sentence for the operator
- * @param count how many like events this one stands for, at least 1
+ * @param count number of similar events that this event represents, at least 1
  */
 public record Event(
         long id,
@@ -29,7 +29,7 @@
         String detail,
         long count) {
 
-    /** By time; events that share a time, which only different nodes can, by node. */
+    /** Orders events by time, then by node: only events of different nodes can have the same time. */
     public static final Comparator<Event> CAUSAL_ORDER =
             Comparator.comparing(Event::time).thenComparing(Event::node).thenComparingLong(Event::id);
 
@@ -42,7 +42,7 @@
         Objects.requireNonNull(subject, "subject");
         Objects.requireNonNull(detail, "detail");
         if (count < 1) {
-            throw new IllegalArgumentException("an event stands for at least one: " + count);
+            throw new IllegalArgumentException("event count must be at least 1: " + count);
         }
     }
 
--- a/src/main/java/io/beryldock/timeline/EventKind.java
+++ b/src/main/java/io/beryldock/timeline/EventKind.java
@@ -17,7 +17,7 @@
     PEER_CONNECTION_STALLED,
     SHED_AT_DOOR,
     SHED_AT_TARGET,
-    /** Refused for another reason than overload. */
+    /** A request was refused for a reason other than overload. */
     REQUEST_REFUSED,
     LIMIT_CHANGED,
     LEVEL_CHANGED,
--- a/src/main/java/io/beryldock/timeline/EventRing.java
+++ b/src/main/java/io/beryldock/timeline/EventRing.java
@@ -18,27 +18,28 @@
 import java.util.stream.Stream;
 
 /**
- * The latest events of one node, bounded.
+ * A bounded ring buffer with the latest events of one node.
  *
- * <p>Thread safe, with short locks. Kinds that come once a request are counted: the first of a kind and subject stands
- * in the ring at once, those that follow within {@link #WINDOW_MILLIS} become one event with their count and a request
- * picked at random among them. Each request's own decision is kept beside the ring for {@link #find}. Invariant: the
- * counts of the events recorded, evicted ones and open windows included, sum to the number of calls of {@code record}.
+ * <p>Thread safe, with short critical sections. Events of kinds that occur per request are aggregated: the first event
+ * of a kind and subject enters the ring at once, and those that follow within {@link #WINDOW_MILLIS} become one event
+ * with their count and one of their requests, chosen at random. The decisions on each request are kept in a separate
+ * buffer for {@link #find}. Invariant: the counts of all events, including evicted events and open windows, sum to the
+ * number of calls of {@code record}.
  */
 public final class EventRing implements EventSink {
 
-    /** Length of the window in which events of a counted kind and subject become one. */
+    /** Length of the window in which events of the same aggregated kind and subject become one event. */
     static final long WINDOW_MILLIS = 1_000;
 
-    /** How many kinds and subjects may be counted at once; more share the subject {@link #OTHERS}. */
+    /** Maximum number of open windows; events of further subjects are counted under the subject {@link #OTHERS}. */
     static final int MAX_WINDOWS = 256;
 
     static final String OTHERS = "others";
 
-    /** Decisions on requests kept for each event of the ring's capacity. */
+    /** Number of retained decisions on requests per event of the ring's capacity. */
     private static final int DECISIONS_PER_EVENT = 2;
 
-    private static final ImmutableSet<EventKind> COUNTED = Sets.immutableEnumSet(
+    private static final ImmutableSet<EventKind> AGGREGATED_KINDS = Sets.immutableEnumSet(
             EventKind.SHED_AT_DOOR,
             EventKind.SHED_AT_TARGET,
             EventKind.REQUEST_REFUSED,
@@ -49,8 +50,8 @@
             EventKind.TICKET_DISPATCHED,
             EventKind.KEY_BOUND);
 
-    /** Kinds that tell a state of their subject which later decisions may follow from. */
-    private static final ImmutableSet<EventKind> STATES = Sets.immutableEnumSet(
+    /** Kinds that report a state of their subject that may cause later decisions. */
+    private static final ImmutableSet<EventKind> STATE_KINDS = Sets.immutableEnumSet(
             EventKind.LIMIT_CHANGED,
             EventKind.LEVEL_CHANGED,
             EventKind.TARGET_LEAVING,
@@ -82,7 +83,7 @@
     public static EventRing create(
             NodeId node, DataCentre dataCentre, HybridLogicalClock clock, int capacity, RandomGenerator random) {
         if (capacity < 1) {
-            throw new IllegalArgumentException("a ring holds at least one event: " + capacity);
+            throw new IllegalArgumentException("ring capacity must be at least 1: " + capacity);
         }
         return new EventRing(node, dataCentre, clock, capacity, random);
     }
@@ -95,24 +96,25 @@
             append(decisions, DECISIONS_PER_EVENT * capacity, event);
         }
         closeWindows(time);
-        if (COUNTED.contains(kind)) {
+        if (AGGREGATED_KINDS.contains(kind)) {
             count(event);
         } else {
             append(events, capacity, event);
         }
     }
 
-    /** Events at or after that time, in order; counts of windows that are still open are included. */
+    /** Events at or after the given time, in causal order, including the counts of open windows. */
     public synchronized ImmutableList<Event> since(HlcTime from) {
         closeWindows(clock.last());
-        Stream<Event> open = windows.values().stream().filter(Window::hasRest).map(Window::toEvent);
+        Stream<Event> open =
+                windows.values().stream().filter(Window::hasCountedEvents).map(Window::toEvent);
         return Stream.concat(events.stream(), open)
                 .filter(event -> event.time().compareTo(from) >= 0)
                 .sorted(Event.CAUSAL_ORDER)
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** What was decided over the request, in order; empty when that was too long ago or elsewhere. */
+    /** The decisions on the request, in causal order; empty if they were evicted or made by another node. */
     public synchronized ImmutableList<Event> find(RequestId request) {
         return decisions.stream()
                 .filter(event -> event.isAbout(request))
@@ -121,8 +123,8 @@
     }
 
     /**
-     * What was decided over the request, and before each decision what this node had last recorded of the state of its
-     * subject: a level, limit, drain or ejection that may be the cause.
+     * The decisions on the request, each preceded by the last recorded state of its subject: a level, limit, drain or
+     * ejection that may be the cause of the decision.
      */
     public synchronized ImmutableList<Event> explain(RequestId request) {
         TreeSet<Event> explanation = new TreeSet<>(Event.CAUSAL_ORDER);
@@ -143,7 +145,7 @@
 
     private Optional<Event> lastStateBefore(Event decision) {
         return events.stream()
-                .filter(event -> STATES.contains(event.kind()))
+                .filter(event -> STATE_KINDS.contains(event.kind()))
                 .filter(event -> event.subject().equals(decision.subject()))
                 .filter(event -> event.time().compareTo(decision.time()) < 0)
                 .max(Event.CAUSAL_ORDER);
@@ -171,15 +173,15 @@
         }
         earliestEnd = Long.MAX_VALUE;
         List<Event> closed = new ArrayList<>();
-        Iterator<Window> all = windows.values().iterator();
-        while (all.hasNext()) {
-            Window window = all.next();
+        Iterator<Window> iterator = windows.values().iterator();
+        while (iterator.hasNext()) {
+            Window window = iterator.next();
             if (now.millis() < window.endMillis) {
                 earliestEnd = Math.min(earliestEnd, window.endMillis);
                 continue;
             }
-            all.remove();
-            if (window.hasRest()) {
+            iterator.remove();
+            if (window.hasCountedEvents()) {
                 closed.add(window.toEvent());
             }
         }
@@ -196,7 +198,8 @@
 
     private record WindowKey(EventKind kind, String subject) {
 
-        // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+        // Written by hand because the C1 compiler, which nodes use, does not inline the generated equals of a record,
+        // which is an invokedynamic call.
         @Override
         public boolean equals(Object other) {
             return other instanceof WindowKey that && kind == that.kind && subject.equals(that.subject);
@@ -208,7 +211,7 @@
         }
     }
 
-    /** Counts like events after the first. */
+    /** Counts the events of one kind and subject that follow the first event of the window. */
     private static final class Window {
         private final long endMillis;
         private final String subject;
@@ -220,7 +223,7 @@
             this.subject = subject;
         }
 
-        /** Keeps each event counted as the sample with the same probability. */
+        /** Counts the event; each counted event becomes the sample with the same probability. */
         void add(Event event, RandomGenerator random) {
             count++;
             if (random.nextLong(count) == 0) {
@@ -228,7 +231,7 @@
             }
         }
 
-        boolean hasRest() {
+        boolean hasCountedEvents() {
             return count > 0;
         }
 
--- a/src/main/java/io/beryldock/timeline/EventSampler.java
+++ b/src/main/java/io/beryldock/timeline/EventSampler.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Records at most some events of one kind a period and counts the rest, so that a flood of refusals neither costs time
- * nor pushes everything else out of the time line. Thread safe.
+ * Limits the number of recorded events of one kind per second and counts the others, so that a flood of refusals neither
+ * costs time nor evicts other events from the time line. Thread safe.
  */
 public final class EventSampler {
 
@@ -18,30 +18,30 @@
     private final EventKind kind;
     private final AtomicLong periodStart = new AtomicLong(Long.MIN_VALUE);
     private final AtomicInteger recorded = new AtomicInteger();
-    private final AtomicInteger left = new AtomicInteger();
+    private final AtomicInteger omitted = new AtomicInteger();
 
     public EventSampler(EventSink events, EventKind kind) {
         this.events = events;
         this.kind = kind;
     }
 
-    /** Whether the next event should be recorded; counts it when not. */
+    /** Whether to record the next event; an event that is not to be recorded is counted. */
     public boolean take(long now) {
         long start = periodStart.get();
-        boolean over = start == Long.MIN_VALUE || now - start >= PERIOD_NANOS;
-        if (over && periodStart.compareAndSet(start, now)) {
+        boolean periodEnded = start == Long.MIN_VALUE || now - start >= PERIOD_NANOS;
+        if (periodEnded && periodStart.compareAndSet(start, now)) {
             recorded.set(0);
         }
         if (recorded.get() < EVENTS_PER_PERIOD && recorded.incrementAndGet() <= EVENTS_PER_PERIOD) {
             return true;
         }
-        left.incrementAndGet();
+        omitted.incrementAndGet();
         return false;
     }
 
-    /** Records an event for which {@link #take} said yes, with the number of those left out before it. */
+    /** Records an event that is to be recorded, with the number of events omitted before it. */
     public void record(Optional<RequestId> request, String subject, String detail) {
-        int count = left.getAndSet(0);
+        int count = omitted.getAndSet(0);
         events.record(kind, request, subject, count == 0 ? detail : detail + " (" + count + " more before)");
     }
 }
--- a/src/main/java/io/beryldock/timeline/EventSink.java
+++ b/src/main/java/io/beryldock/timeline/EventSink.java
@@ -3,15 +3,15 @@
 import io.beryldock.call.RequestId;
 import java.util.Optional;
 
-/** Takes events of this node into its time line. Thread safe, never blocks, never fails. */
+/** Records events of this node in its time line. Thread safe, never blocks, never fails. */
 @FunctionalInterface
 public interface EventSink {
 
     /**
-     * Records an event now.
+     * Records an event with the current time.
      *
-     * @param request the request it is about, if any
-     * @param subject what it is about: a service, node, route or class
+     * @param request the request that the event concerns, if any
+     * @param subject the service, node, route or class that the event concerns
      * @param detail a short sentence for the operator
      */
     void record(EventKind kind, Optional<RequestId> request, String subject, String detail);
@@ -20,7 +20,7 @@
         record(kind, Optional.empty(), subject, detail);
     }
 
-    /** Drops every event. */
+    /** A sink that discards every event. */
     static EventSink none() {
         return (kind, request, subject, detail) -> {};
     }
--- a/src/main/java/io/beryldock/timeline/HlcTime.java
+++ b/src/main/java/io/beryldock/timeline/HlcTime.java
@@ -9,7 +9,7 @@
 /**
  * A reading of a hybrid logical clock: wall milliseconds and a counter that orders readings of one millisecond.
  *
- * <p>Immutable. If one event can have caused another, its time is lower. The packed form holds 48 bits of milliseconds
+ * <p>Immutable. An event that can have caused another has a lower time. The packed form holds 48 bits of milliseconds
  * and 16 bits of counter and sorts like the time itself. The text form is an ISO instant, a slash and the counter, for
  * example {@code 2026-02-09T08:00:00.125Z/3}.
  */
@@ -27,11 +27,11 @@
 
     public HlcTime {
         if (millis < 0 || millis > MAX_MILLIS || counter < 0 || counter > MAX_COUNTER) {
-            throw new IllegalArgumentException("no time of a hybrid logical clock: " + millis + "/" + counter);
+            throw new IllegalArgumentException("hybrid logical clock reading out of range: " + millis + "/" + counter);
         }
     }
 
-    /** The first time of that millisecond; a time before 1970 is the earliest there is. */
+    /** The first reading of the millisecond; {@link #ZERO} for a millisecond before 1970. */
     public static HlcTime ofMillis(long millis) {
         return new HlcTime(Math.max(0, millis), 0);
     }
@@ -48,13 +48,13 @@
     public static HlcTime parse(String text) {
         int slash = text.indexOf('/');
         if (slash < 0) {
-            throw new IllegalArgumentException("a time is INSTANT/COUNTER: '" + text + "'");
+            throw new IllegalArgumentException("a time must have the form INSTANT/COUNTER: '" + text + "'");
         }
         try {
             long millis = Instant.parse(text.substring(0, slash)).toEpochMilli();
             return new HlcTime(millis, Integer.parseInt(text.substring(slash + 1)));
         } catch (DateTimeParseException e) {
-            throw new IllegalArgumentException("a time is INSTANT/COUNTER: '" + text + "'", e);
+            throw new IllegalArgumentException("a time must have the form INSTANT/COUNTER: '" + text + "'", e);
         }
     }
 
--- a/src/main/java/io/beryldock/timeline/HybridLogicalClock.java
+++ b/src/main/java/io/beryldock/timeline/HybridLogicalClock.java
@@ -4,14 +4,14 @@
 import java.time.InstantSource;
 
 /**
- * A hybrid logical clock: follows the wall clock, never goes back, and never falls behind a time that it has observed.
+ * A hybrid logical clock: follows the wall clock, never goes back, and never falls behind an observed time.
  *
- * <p>Thread safe. Invariants: each {@link #now} is higher than every earlier one and than every time observed before.
- * The clock serves the order of the time line only; no decision reads it.
+ * <p>Thread safe. Invariant: each {@link #now} is higher than all earlier readings and all times observed before. The
+ * clock is used only to order the time line; no decision depends on it.
  */
 public final class HybridLogicalClock {
 
-    /** How far ahead of this machine's wall clock an observed time may be. */
+    /** Maximum difference by which an observed time may be ahead of this machine's wall clock. */
     static final Duration MAX_DRIFT = Duration.ofSeconds(10);
 
     private final InstantSource wall;
@@ -30,29 +30,29 @@
         return create(InstantSource.system());
     }
 
-    /** The time of an event of this node. */
+    /** Advances the clock and returns the time of a new event of this node. */
     public synchronized HlcTime now() {
         long millis = wall.millis();
         last = millis > last.millis() ? HlcTime.ofMillis(millis) : after(last);
         return last;
     }
 
-    /** The highest time given or observed; does not move the clock. */
+    /** The highest time returned or observed so far; does not advance the clock. */
     public synchronized HlcTime last() {
         return last;
     }
 
-    /** The time that this machine's wall clock showed so long ago; does not move the clock. */
+    /** The current wall clock time minus the given duration; does not advance the clock. */
     public HlcTime ago(Duration length) {
         return HlcTime.ofMillis(wall.millis() - length.toMillis());
     }
 
     /**
-     * Takes note of a time that another node sent; false when it was too far ahead to be followed.
+     * Observes a time that another node sent; false if the time is too far ahead and is rejected.
      *
-     * <p>Guards against a machine whose wall clock is set far ahead: each node that followed it would hand its time on
-     * until the time lines of the whole deployment lay in the future. As no clock passes the machine's own wall by more
-     * than {@link #MAX_DRIFT}, the error ends at the first sound node.
+     * <p>Guards against a machine whose wall clock is set far ahead: nodes that followed it would propagate its time
+     * until the time lines of the whole deployment were in the future. As no clock runs ahead of its machine's wall
+     * clock by more than {@link #MAX_DRIFT}, the error stops at the first node whose wall clock is correct.
      */
     public synchronized boolean observe(HlcTime remote) {
         if (remote.millis() - wall.millis() > MAX_DRIFT.toMillis()) {
@@ -65,7 +65,7 @@
         return true;
     }
 
-    /** How many observed times were too far ahead. */
+    /** Number of observed times that were rejected for being too far ahead. */
     public synchronized long rejected() {
         return rejected;
     }
--- a/src/main/java/io/beryldock/timeline/RefusalCount.java
+++ b/src/main/java/io/beryldock/timeline/RefusalCount.java
@@ -3,8 +3,9 @@
 import io.beryldock.call.Reason;
 
 /**
- * How many requests were refused alike.
+ * Number of requests refused with the same reason, priority class, service and caller.
  *
- * <p>Immutable. A name is {@link RefusalCounter#OTHERS} where too many kinds were counted to tell them apart.
+ * <p>Immutable. The names are {@link RefusalCounter#OTHERS} for refusals beyond the number of combinations that are
+ * counted separately.
  */
 public record RefusalCount(Reason reason, String priorityClass, String service, String caller, long count) {}
--- a/src/main/java/io/beryldock/timeline/RefusalCounter.java
+++ b/src/main/java/io/beryldock/timeline/RefusalCounter.java
@@ -13,16 +13,16 @@
 /**
  * Counts the requests that this node refused, by reason, class, service and caller, over the last hour.
  *
- * <p>Thread safe, with short locks. Memory is bounded whatever names callers bring: {@link #KINDS_PER_BUCKET} kinds in
- * each of {@link #BUCKETS} buckets. Nothing is lost by that bound but the names: the counts of a span always sum to the
- * refusals within it, to a bucket's length.
+ * <p>Thread safe, with short critical sections. Memory is bounded for any number of names that callers send:
+ * {@link #KINDS_PER_BUCKET} combinations in each of {@link #BUCKETS} buckets. Beyond that limit only names are lost: the
+ * counts of a time span always sum to the refusals within it, with the precision of one bucket.
  */
 public final class RefusalCounter {
 
-    /** Stands for a name that was not counted apart. */
+    /** Replaces names that are not counted separately. */
     public static final String OTHERS = "others";
 
-    /** How far back counts reach. */
+    /** Retention period of the counts. */
     public static final Duration SPAN = Duration.ofHours(1);
 
     static final Duration BUCKET = Duration.ofSeconds(10);
@@ -40,13 +40,16 @@
         return new RefusalCounter(ticker);
     }
 
-    /** Counts one request that this node refused or gave up; {@code caller} is the service that made the call. */
+    /** Counts one request that this node refused or abandoned; {@code caller} is the service that made the call. */
     public synchronized void record(Reason reason, PriorityClass priority, ServiceName service, ServiceName caller) {
         Kind kind = new Kind(reason, priority.name(), service.value(), caller.value());
         currentBucket().add(kind);
     }
 
-    /** Counts of the last so long, to the length of a bucket; each kind once, in no order. */
+    /**
+     * The counts of the given most recent time span, with the precision of one bucket: one element per combination, in no
+     * particular order.
+     */
     public synchronized ImmutableList<RefusalCount> last(Duration length) {
         long first = bucketNumber(ticker.nanos() - length.toNanos());
         Map<Kind, Long> sums = new HashMap<>();
@@ -77,7 +80,8 @@
 
     private record Kind(Reason reason, String priorityClass, String service, String caller) {
 
-        // Written out: nodes' C1 compiler does not inline the generated equals of a record, an invokedynamic call.
+        // Written by hand because the C1 compiler, which nodes use, does not inline the generated equals of a record,
+        // which is an invokedynamic call.
         @Override
         public boolean equals(Object other) {
             return other instanceof Kind that
@@ -101,7 +105,7 @@
         }
     }
 
-    /** Counts of one stretch of time. */
+    /** The counts of one interval of length {@link #BUCKET}. */
     private static final class Bucket {
         private final long number;
         private final Map<Kind, Long> counts = new HashMap<>();
--- a/src/main/java/io/beryldock/timeline/TimelineHtmlWriter.java
+++ b/src/main/java/io/beryldock/timeline/TimelineHtmlWriter.java
@@ -8,32 +8,32 @@
 import java.util.Collection;
 
 /**
- * Writes events as one HTML page that needs nothing beside it: lanes by data centre and node, with zoom and filters.
+ * Writes events as a self-contained HTML page: lanes by data centre and node, with zoom and filters.
  *
  * <p>Stateless, thread safe.
  */
 public final class TimelineHtmlWriter {
 
     private static final URL TEMPLATE = Resources.getResource(TimelineHtmlWriter.class, "timeline.html");
-    private static final String PLACE = "/*EVENTS*/";
+    private static final String PLACEHOLDER = "/*EVENTS*/";
 
     private TimelineHtmlWriter() {}
 
-    /** The page; the events must be in order. */
+    /** Returns the page; the events must be in causal order. */
     public static String write(Collection<Event> events) {
-        String lines = TimelineJsonWriter.write(events).strip();
-        String array = "[" + lines.replace("\n", ",\n") + "]";
-        return template().replace(PLACE, withoutMarkup(array));
+        String jsonLines = TimelineJsonWriter.write(events).strip();
+        String array = "[" + jsonLines.replace("\n", ",\n") + "]";
+        return template().replace(PLACEHOLDER, escapeMarkup(array));
     }
 
     /**
-     * JSON that is safe within a script element.
+     * Escapes JSON so that it is safe within a script element.
      *
-     * <p>Guards against a subject or detail with the text of an end tag, which would end the script element and let the
-     * rest run as markup in the operator's browser. Such an escape means the same in JSON, and no tag can begin without
-     * the character.
+     * <p>Guards against a subject or detail that contains an end tag, which would end the script element and let the
+     * operator's browser interpret the rest as markup. The escape has the same meaning in JSON, and no tag can start
+     * without the escaped character.
      */
-    private static String withoutMarkup(String json) {
+    private static String escapeMarkup(String json) {
         return json.replace("<", "\\u003c");
     }
 
@@ -41,7 +41,7 @@
         try {
             return Resources.toString(TEMPLATE, StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new UncheckedIOException("the page's template is part of the program", e);
+            throw new UncheckedIOException("the template of the timeline page can't be read", e);
         }
     }
 }
--- a/src/main/java/io/beryldock/timeline/TimelineJsonWriter.java
+++ b/src/main/java/io/beryldock/timeline/TimelineJsonWriter.java
@@ -7,7 +7,7 @@
 import java.io.UncheckedIOException;
 import java.util.Collection;
 
-/** Writes events as JSON lines: one object a line, fields that are empty left out. Stateless, thread safe. */
+/** Writes events as JSON lines: one object per line, without empty fields. Stateless, thread safe. */
 public final class TimelineJsonWriter {
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -36,7 +36,7 @@
             writeUnlessEmpty(json, "detail", event.detail());
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("writing to memory does not fail", e);
+            throw new UncheckedIOException("unexpected I/O error while writing JSON to memory", e);
         }
         return text.toString();
     }
--- a/src/main/java/io/beryldock/timeline/TimelineMerger.java
+++ b/src/main/java/io/beryldock/timeline/TimelineMerger.java
@@ -10,7 +10,7 @@
 
     private TimelineMerger() {}
 
-    /** Each event once, though several parts hold it; an event that caused another comes before it. */
+    /** Returns each event once, even if several parts contain it; an event that caused another comes before it. */
     public static ImmutableList<Event> merge(Collection<? extends Collection<Event>> parts) {
         Set<Key> seen = new HashSet<>();
         return parts.stream()
--- a/src/main/java/io/beryldock/timeline/TimelineTextWriter.java
+++ b/src/main/java/io/beryldock/timeline/TimelineTextWriter.java
@@ -3,21 +3,21 @@
 import com.google.common.base.Strings;
 import java.util.Collection;
 
-/** Writes events as text, one a line. Stateless, thread safe. */
+/** Writes events as text, one event per line. Stateless, thread safe. */
 public final class TimelineTextWriter {
 
     private TimelineTextWriter() {}
 
-    /** Lines with time, data centre, node, kind, subject and the rest, in aligned columns. */
+    /** Returns lines with time, data centre, node, kind, subject, count, detail and request; place and kind are aligned. */
     public static String write(Collection<Event> events) {
-        int place =
+        int placeWidth =
                 events.stream().mapToInt(event -> place(event).length()).max().orElse(0);
-        int kind = events.stream()
+        int kindWidth = events.stream()
                 .mapToInt(event -> event.kind().name().length())
                 .max()
                 .orElse(0);
         StringBuilder text = new StringBuilder();
-        events.forEach(event -> text.append(line(event, place, kind)).append('\n'));
+        events.forEach(event -> text.append(line(event, placeWidth, kindWidth)).append('\n'));
         return text.toString();
     }
 
--- a/src/main/java/io/beryldock/timeline/package-info.java
+++ b/src/main/java/io/beryldock/timeline/package-info.java
@@ -1,2 +1,2 @@
-/** The time line: typed events of every node in one causal order. */
+/** The time line: typed events that nodes record, merged into one causal order. */
 package io.beryldock.timeline;
--- a/src/test/java/io/beryldock/store/EntryTableTest.java
+++ b/src/test/java/io/beryldock/store/EntryTableTest.java
@@ -42,25 +42,28 @@
                 .toList();
     }
 
-    /** Story: a target that left gets orders again: a message that was overtaken brought its old entry back. */
+    /** Guards against orders to a target that has left: a reordered message must not restore its old entry. */
     @Test
-    void olderChangeOfAKeyIsNoNews() {
+    void changeOlderThanTheTombstoneIsNotNewer() {
         table.apply(entry("p/a", 5), 0);
         table.apply(removal("p/a", 7), 0);
         assertThat(table.isNewer(entry("p/a", 6))).isFalse();
         assertThat(table.isNewer(entry("p/a", 8))).isTrue();
     }
 
-    /** Story: after the store dropped its history a copy behind the rest lists entries that have long gone. */
+    /**
+     * Guards against the return of removed entries: after the store compacted its history, a lagging replica may still
+     * list them.
+     */
     @Test
-    void listingOlderThanWhatIsKnownChangesNothing() {
+    void listingOlderThanTheTableYieldsNoChanges() {
         list(9, entry("p/a", 9));
         assertThat(table.changesTo(new Listing(ImmutableList.of(entry("p/b", 3)), at(4))))
                 .isEmpty();
     }
 
     @Test
-    void entryMissingInAListingIsRemoved() {
+    void entryMissingFromAListingIsRemoved() {
         list(2, entry("p/a", 1), entry("p/b", 2));
         list(6, entry("p/b", 2));
         assertThat(keysSince(StoreRevision.NONE)).containsExactly("p/b");
@@ -69,15 +72,15 @@
     }
 
     @Test
-    void partHoldsWhatChangedAfterTheRevision() {
+    void partContainsOnlyChangesAfterTheRevision() {
         list(5, entry("p/a", 1), entry("p/b", 5));
         assertThat(table.since(at(3), 0).getWhole()).isFalse();
         assertThat(keysSince(at(3))).containsExactly("p/b");
     }
 
-    /** Story: a node that was away for a minute keeps a target that was removed meanwhile, for ever. */
+    /** Guards against a node that was unreachable for a minute and never learns of a target removed in the meantime. */
     @Test
-    void nodeThatLaggedLongIsSentAllThereIs() {
+    void nodeLaggingBeyondTombstoneRetentionGetsCompleteListing() {
         list(1, entry("p/a", 1));
         table.apply(removal("p/a", 2), 0);
         table.advance(at(2));
@@ -90,34 +93,34 @@
         return new Entry(entry.key(), new StoreRevision(2, entry.revision().number()), entry.value());
     }
 
-    /** Guards against changes that are dropped since their revisions were given out before, in an earlier era. */
+    /** Guards against dropped changes: a new era assigns revision numbers that an earlier era has already used. */
     @Test
-    void lowerRevisionOfALaterEraIsNews() {
+    void lowerRevisionOfALaterEraIsNewer() {
         list(9, entry("p/a", 9));
         assertThat(table.isNewer(inLaterEra(entry("p/a", 4)))).isTrue();
         table.apply(inLaterEra(entry("p/a", 4)), 0);
         assertThat(table.isNewer(entry("p/a", 10))).isFalse();
     }
 
-    /** Guards against a change that the store lost and an answer which was under way for long brings back. */
+    /** Guards against a delayed answer that restores a change which the store has lost. */
     @Test
-    void changeOfAnEarlierEraIsNoNews() {
+    void changeOfAnEarlierEraIsNotNewer() {
         list(9, entry("p/a", 5));
         table.advance(new StoreRevision(2, 5));
         assertThat(table.isNewer(entry("p/lost", 8))).isFalse();
     }
 
-    /** Guards against a listing of the store's copy that is taken for one of a copy that lags. */
+    /** Guards against a listing of the restored store that is mistaken for the listing of a lagging replica. */
     @Test
-    void listingOfALaterEraRemovesWhatWasLost() {
+    void listingOfALaterEraRemovesLostEntries() {
         list(9, entry("p/a", 5), entry("p/b", 9));
         Listing copy = new Listing(ImmutableList.of(inLaterEra(entry("p/a", 5))), new StoreRevision(2, 6));
         assertThat(table.changesTo(copy)).containsExactly(new Entry("p/b", new StoreRevision(2, 6), Optional.empty()));
     }
 
-    /** Guards against records that listeners take for changed since the store came back with them. */
+    /** Guards against unchanged records that are reported as changes after the store was restored with them. */
     @Test
-    void changeThatTheCopyHoldsIsToldOnce() {
+    void changeContainedInTheRestoredCopyIsNotRepeated() {
         list(9, entry("p/a", 5));
         Entry other = new Entry("p/a", new StoreRevision(2, 5), Optional.of(ByteString.copyFromUtf8("other")));
         Listing copy = new Listing(ImmutableList.of(inLaterEra(entry("p/a", 5))), new StoreRevision(2, 5));
@@ -126,16 +129,16 @@
         assertThat(table.changesTo(changed)).containsExactly(other);
     }
 
-    /** Guards against a listing in which what was replaced long ago comes after what took its place. */
+    /** Guards against a listing that delivers an older entry after the entry that replaced it. */
     @Test
-    void listedChangesComeInTheOrderOfTheirRevisions() {
+    void changesOfAListingAreOrderedByRevision() {
         Listing listing = new Listing(ImmutableList.of(entry("p/a", 8), entry("p/b", 3)), at(9));
         assertThat(table.changesTo(listing)).extracting(Entry::key).containsExactly("p/b", "p/a");
     }
 
-    /** Guards against a node that keeps what the store lost, as it is told only what followed its own revision. */
+    /** Guards against a node that keeps lost entries because it receives only the changes after its own revision. */
     @Test
-    void nodeOfAnotherEraIsSentAllThereIs() {
+    void nodeOfAnotherEraGetsCompleteListing() {
         list(9, entry("p/a", 5));
         assertThat(table.since(new StoreRevision(2, 7), 0).getWhole()).isTrue();
         assertThat(table.since(at(7), 0).getWhole()).isFalse();
--- a/src/test/java/io/beryldock/store/FakeRegistry.java
+++ b/src/test/java/io/beryldock/store/FakeRegistry.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** A registry in memory whose outages are switched by hand; each caller may be turned away. Not thread safe. */
+/** An in-memory registry that simulates outages, for all callers or for a single one. Not thread safe. */
 public final class FakeRegistry {
 
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(1);
@@ -30,12 +30,12 @@
         this.timers = timers;
     }
 
-    /** A view of the store that can be cut off from it. */
+    /** Creates the view of one node, which can be disconnected from the store. */
     public View view() {
         return new View();
     }
 
-    /** Ends all leases, as an outage does that outlasts them. */
+    /** Ends all leases, as an outage that is longer than the leases does. */
     public void lapse() {
         List<String> keys = leases.values().stream().flatMap(List::stream).toList();
         leases.clear();
@@ -44,63 +44,63 @@
 
     public void write(String key, ByteString value) {
         revision++;
-        record(new RegistryStore.Entry(key, at(), Optional.of(value)));
+        record(new RegistryStore.Entry(key, currentRevision(), Optional.of(value)));
     }
 
     public boolean holds(String key) {
         return items.containsKey(key);
     }
 
-    /** What the store holds now, to come back from later. */
+    /** Copies the current state of the store, from which it can be restored later. */
     public Copy copy() {
         Map<Long, List<String>> copied = new TreeMap<>();
         leases.forEach((lease, keys) -> copied.put(lease, List.copyOf(keys)));
         return new Copy(Map.copyOf(items), List.copyOf(history), copied, revision);
     }
 
-    /** Loses all that was done since the copy was made; watches under way are cut. */
+    /** Restores the copy, which loses all later changes; watches in progress fail. */
     public void comeBackFrom(Copy copy) {
         era++;
         items.clear();
-        copy.items().forEach((key, item) -> items.put(key, inPresentEra(item)));
+        copy.items().forEach((key, item) -> items.put(key, withCurrentEra(item)));
         history.clear();
-        copy.history().forEach(item -> history.add(inPresentEra(item)));
+        copy.history().forEach(item -> history.add(withCurrentEra(item)));
         leases.clear();
         copy.leases().forEach((lease, keys) -> leases.put(lease, new ArrayList<>(keys)));
         revision = copy.revision();
-        List<Watch> cut = List.copyOf(watches);
+        List<Watch> interrupted = List.copyOf(watches);
         watches.clear();
-        cut.forEach(Watch::cut);
+        interrupted.forEach(Watch::fail);
     }
 
-    private RegistryStore.Entry inPresentEra(RegistryStore.Entry entry) {
+    private RegistryStore.Entry withCurrentEra(RegistryStore.Entry entry) {
         StoreRevision number = new StoreRevision(era, entry.revision().number());
         return new RegistryStore.Entry(entry.key(), number, entry.value());
     }
 
-    /** An older state of the store. Immutable. */
+    /** A copy of a state of the store. Immutable. */
     public record Copy(
             Map<String, RegistryStore.Entry> items,
             List<RegistryStore.Entry> history,
             Map<Long, List<String>> leases,
             long revision) {}
 
-    /** A watch that waits for changes. */
+    /** A pending watch. */
     private interface Watch {
 
-        void look();
+        void deliverChanges();
 
-        void cut();
+        void fail();
     }
 
-    private StoreRevision at() {
+    private StoreRevision currentRevision() {
         return new StoreRevision(era, revision);
     }
 
     private void remove(String key) {
         if (items.remove(key) != null) {
             revision++;
-            record(new RegistryStore.Entry(key, at(), Optional.empty()));
+            record(new RegistryStore.Entry(key, currentRevision(), Optional.empty()));
         }
     }
 
@@ -109,10 +109,10 @@
             items.put(entry.key(), entry);
         }
         history.add(entry);
-        List.copyOf(watches).forEach(Watch::look);
+        List.copyOf(watches).forEach(Watch::deliverChanges);
     }
 
-    /** One node's way to the store. */
+    /** One node's connection to the store. */
     public final class View implements RegistryStore {
         private boolean down;
         private boolean silent;
@@ -120,12 +120,12 @@
         private final StoreEras eras = StoreEras.create();
         private Supplier<Duration> delay = () -> Duration.ZERO;
 
-        /** Readings reach the store after a delay, and their answers come back after another. */
+        /** Sets the delay after which a listing reaches the store; its answer arrives after a second such delay. */
         public void setDelay(Supplier<Duration> value) {
             delay = value;
         }
 
-        /** Lists, watches and writes so far; renewals cost next to nothing and don't count. */
+        /** Number of listings, watches, writes and granted leases so far; lease renewals and probes don't count. */
         public int calls() {
             return calls;
         }
@@ -134,16 +134,18 @@
             down = value;
         }
 
-        /** Calls made while it is silent get no answer, and those that waited before never do. */
+        /** While silent, new calls get no answer; watches that were pending then don't get one later either. */
         public void setSilent(boolean value) {
             silent = value;
         }
 
         private <T> CompletableFuture<T> answer(T value) {
             if (silent) {
-                CompletableFuture<T> none = new CompletableFuture<>();
-                timers.after(ANSWER_TIMEOUT, () -> none.completeExceptionally(new PlatformException("no answer")));
-                return none;
+                CompletableFuture<T> unanswered = new CompletableFuture<>();
+                timers.after(
+                        ANSWER_TIMEOUT,
+                        () -> unanswered.completeExceptionally(new PlatformException("no answer from the store")));
+                return unanswered;
             }
             if (down) {
                 return CompletableFuture.failedFuture(new PlatformException("the store is down"));
@@ -160,24 +162,24 @@
         @Override
         public CompletableFuture<Listing> list(String prefix) {
             calls++;
-            Duration there = delay.get();
-            if (there.isZero()) {
+            Duration listingDelay = delay.get();
+            if (listingDelay.isZero()) {
                 return answer(listing(prefix));
             }
-            CompletableFuture<Listing> late = new CompletableFuture<>();
-            timers.after(there, () -> {
-                Listing found = listing(prefix);
+            CompletableFuture<Listing> delayedAnswer = new CompletableFuture<>();
+            timers.after(listingDelay, () -> {
+                Listing currentListing = listing(prefix);
                 timers.after(
                         delay.get(),
-                        () -> answer(found).whenComplete((listing, failure) -> {
+                        () -> answer(currentListing).whenComplete((listing, failure) -> {
                             if (failure == null) {
-                                late.complete(listing);
+                                delayedAnswer.complete(listing);
                             } else {
-                                late.completeExceptionally(failure);
+                                delayedAnswer.completeExceptionally(failure);
                             }
                         }));
             });
-            return late;
+            return delayedAnswer;
         }
 
         private Listing listing(String prefix) {
@@ -185,23 +187,23 @@
                     items.values().stream()
                             .filter(item -> item.key().startsWith(prefix))
                             .collect(ImmutableList.toImmutableList()),
-                    at());
+                    currentRevision());
         }
 
         @Override
         public CompletableFuture<Changes> changes(String prefix, StoreRevision after, Duration wait) {
             calls++;
             if (after.number() > revision) {
-                return answer(new Changes(true, ImmutableList.of(), at()));
+                return answer(new Changes(true, ImmutableList.of(), currentRevision()));
             }
             WaitingWatch watch = new WaitingWatch(prefix, after.number());
             watches.add(watch);
             timers.after(wait, watch::end);
-            watch.look();
+            watch.deliverChanges();
             return watch.future;
         }
 
-        /** A watch of this node: completes with the first changes, or with none at its end. */
+        /** A watch of this node: completes with the first changes, or without changes after its wait. */
         private final class WaitingWatch implements Watch {
             private final CompletableFuture<Changes> future = new CompletableFuture<>();
             private final String prefix;
@@ -214,21 +216,21 @@
             }
 
             @Override
-            public void look() {
-                ImmutableList<Entry> found = history.stream()
+            public void deliverChanges() {
+                ImmutableList<Entry> newChanges = history.stream()
                         .filter(entry ->
                                 entry.revision().number() > after && entry.key().startsWith(prefix))
                         .collect(ImmutableList.toImmutableList());
                 silenced |= silent;
-                if (!found.isEmpty() && !down && !silenced && watches.remove(this)) {
+                if (!newChanges.isEmpty() && !down && !silenced && watches.remove(this)) {
                     eras.note(era);
-                    future.complete(new Changes(false, found, at()));
+                    future.complete(new Changes(false, newChanges, currentRevision()));
                 }
             }
 
             @Override
-            public void cut() {
-                future.completeExceptionally(new PlatformException("the store went away"));
+            public void fail() {
+                future.completeExceptionally(new PlatformException("the connection to the store was closed"));
             }
 
             private void end() {
@@ -237,7 +239,7 @@
                     future.completeExceptionally(new PlatformException("the store is down"));
                 } else {
                     eras.note(era);
-                    future.complete(new Changes(false, ImmutableList.of(), at()));
+                    future.complete(new Changes(false, ImmutableList.of(), currentRevision()));
                 }
             }
         }
--- a/src/test/java/io/beryldock/store/HttpPlatformStoreTest.java
+++ b/src/test/java/io/beryldock/store/HttpPlatformStoreTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The adapter against the stand-in server, over a real socket. */
+/** Tests the HTTP client against the stand-in server over a real socket. */
 final class HttpPlatformStoreTest {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void writesOnlyOverTheExpectedVersion() throws Exception {
+    void writeSucceedsOnlyWithTheExpectedVersion() throws Exception {
         String key = "configuration/be east/ü?&";
         assertThat(store.get(key).get()).isEmpty();
         assertThat(store.compareAndSet(key, PlatformStore.ABSENT, ONE).get()).isEqualTo(WriteResult.applied(1));
@@ -58,13 +58,13 @@
     }
 
     @Test
-    void tellsThatAKeyIsAbsentWhenAVersionWasExpected() throws Exception {
+    void writeToAnAbsentKeyWithAnExpectedVersionIsAConflict() throws Exception {
         WriteResult result = store.compareAndSet("key", 7, ONE).get();
         assertThat(result).isEqualTo(WriteResult.conflict(Optional.empty()));
     }
 
     @Test
-    void refusesAValueOverAMegabyteAndKeepsOneOfAMegabyte() throws Exception {
+    void valueOverTheSizeLimitIsNotAppliedAndValueAtTheLimitIsStored() throws Exception {
         ByteString largest = ByteString.copyFrom(new byte[PlatformStore.MAX_VALUE_BYTES]);
         ByteString over = largest.concat(ByteString.copyFromUtf8("x"));
         assertThat(store.compareAndSet("key", 0, over).get()).isEqualTo(WriteResult.notApplied());
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aWatchEndsWithTheWriteOrWithNothing() throws Exception {
+    void watchCompletesWithTheWrittenValueOrEmptyAfterItsWait() throws Exception {
         CompletableFuture<Optional<StoredValue>> watch = store.watch("key", 0, TIMEOUT);
         assertThat(store.compareAndSet("key", 0, ONE).get().kind()).isEqualTo(WriteResult.Kind.APPLIED);
         assertThat(watch.get()).contains(new StoredValue(1, ONE));
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aLeaseHasOneHolderUntilItLapses() throws Exception {
+    void leaseHasOneHolderUntilItExpires() throws Exception {
         assertThat(store.lease("watcher", "node 1", LEASE).get()).isTrue();
         assertThat(store.lease("watcher", "node 2", LEASE).get()).isFalse();
         assertThat(store.lease("watcher", "node 1", LEASE).get()).isTrue();
@@ -91,22 +91,19 @@
     }
 
     /**
-     * An operator changes a setting; the store writes it, then the connection dies before the answer. If the writer
-     * were
-     * told that nothing happened it would write again, or tell the operator a falsehood.
+     * Guards against a write that is reported as not applied although it took effect: the connection fails after the
+     * store has applied the write and before it answers. The writer would repeat the write or misinform the operator.
      */
     @Test
-    void anAnswerLostAfterTheEffectIsUnknown() throws Exception {
+    void writeWhoseAnswerIsLostIsUnknown() throws Exception {
         server.store().setFaults(StoreFaults.none().withLoseNext(1));
         assertThat(store.compareAndSet("key", 0, ONE).get()).isEqualTo(WriteResult.unknown());
         assertThat(store.get("key").get()).contains(new StoredValue(1, ONE));
-        assertThat(server.store().counts().writes())
-                .as("sent once, never again")
-                .isEqualTo(1);
+        assertThat(server.store().counts().writes()).as("number of writes sent").isEqualTo(1);
     }
 
     @Test
-    void aConnectionCutOffBeforeTheEffectIsUnknownToo() throws Exception {
+    void writeWhoseConnectionClosesBeforeTheEffectIsUnknown() throws Exception {
         server.store().setFaults(StoreFaults.none().withDown(true));
         assertThat(store.compareAndSet("key", 0, ONE).get()).isEqualTo(WriteResult.unknown());
         assertThatThrownBy(() -> store.get("key").get())
@@ -115,15 +112,16 @@
     }
 
     @Test
-    void aSilentStoreIsUnknownAfterTheTimeout() throws Exception {
+    void writeToASilentStoreIsUnknownAfterTheTimeout() throws Exception {
         server.store().setFaults(StoreFaults.none().withSilent(true));
-        try (HttpPlatformStore hasty = HttpPlatformStore.start(server.uri(), SHORT_TIMEOUT, resources.timers())) {
-            assertThat(hasty.compareAndSet("key", 0, ONE).get()).isEqualTo(WriteResult.unknown());
+        try (HttpPlatformStore shortTimeoutStore =
+                HttpPlatformStore.start(server.uri(), SHORT_TIMEOUT, resources.timers())) {
+            assertThat(shortTimeoutStore.compareAndSet("key", 0, ONE).get()).isEqualTo(WriteResult.unknown());
         }
     }
 
     @Test
-    void aRefusalOfTheStoreItselfIsNotApplied() throws Exception {
+    void writeRefusedByTheStoreIsNotApplied() throws Exception {
         server.store().setFaults(StoreFaults.none().withRefusing(true));
         assertThat(store.compareAndSet("key", 0, ONE).get()).isEqualTo(WriteResult.notApplied());
         server.store().setFaults(StoreFaults.none());
@@ -131,14 +129,15 @@
     }
 
     @Test
-    void aStoreThatCanNotBeConnectedToIsNotApplied() throws Exception {
+    void writeWithoutAConnectionIsNotApplied() throws Exception {
         int port;
         try (ServerSocket closed = new ServerSocket(0)) {
             port = closed.getLocalPort();
         }
-        URI nobody = URI.create("http://127.0.0.1:" + port);
-        try (HttpPlatformStore lost = HttpPlatformStore.start(nobody, TIMEOUT, resources.timers())) {
-            assertThat(lost.compareAndSet("key", 0, ONE).get()).isEqualTo(WriteResult.notApplied());
+        URI closedPortAddress = URI.create("http://127.0.0.1:" + port);
+        try (HttpPlatformStore unreachableStore =
+                HttpPlatformStore.start(closedPortAddress, TIMEOUT, resources.timers())) {
+            assertThat(unreachableStore.compareAndSet("key", 0, ONE).get()).isEqualTo(WriteResult.notApplied());
         }
     }
 }
--- a/src/test/java/io/beryldock/store/InMemoryPlatformStoreTest.java
+++ b/src/test/java/io/beryldock/store/InMemoryPlatformStoreTest.java
@@ -23,15 +23,15 @@
     private final InMemoryPlatformStore store = InMemoryPlatformStore.create(timers, new SplittableRandom(1));
 
     @Test
-    void ofTwoWritersOverOneVersionOneWins() {
+    void secondWriteWithTheSameExpectedVersionIsAConflict() {
         assertThat(store.compareAndSet("key", 0, ONE)).isCompletedWithValue(WriteResult.applied(1));
         assertThat(store.compareAndSet("key", 0, TWO))
                 .isCompletedWithValue(WriteResult.conflict(Optional.of(new StoredValue(1, ONE))));
     }
 
-    /** The write took effect and its answer was lost: the writer hears nothing, then that it can't know. */
+    /** The write takes effect but its answer is lost: the result is pending until the timeout, then unknown. */
     @Test
-    void aLostAnswerIsUnknownAfterTheTimeout() {
+    void writeWhoseAnswerIsLostIsUnknownAfterTheTimeout() {
         store.setFaults(StoreFaults.none().withLoseNext(1));
         CompletableFuture<WriteResult> lost = store.compareAndSet("key", 0, ONE);
         assertThat(lost).isNotDone();
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aStoreThatIsDownAppliesNothingAndSaysSo() {
+    void writeToAStoreThatIsDownIsNotApplied() {
         store.setFaults(StoreFaults.none().withDown(true));
         assertThat(store.compareAndSet("key", 0, ONE)).isCompletedWithValue(WriteResult.notApplied());
         assertThatThrownBy(store.get("key")::get).hasCauseInstanceOf(PlatformException.class);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aSilentStoreHasNoEffectAndNoAnswer() {
+    void writeToASilentStoreHasNoEffectAndIsUnknown() {
         store.setFaults(StoreFaults.none().withSilent(true));
         CompletableFuture<WriteResult> write = store.compareAndSet("key", 0, ONE);
         timers.advance(InMemoryPlatformStore.ANSWER_TIMEOUT);
@@ -59,9 +59,9 @@
         assertThat(store.get("key")).isCompletedWithValue(Optional.empty());
     }
 
-    /** A slow store takes longer than the writer waits: told unknown, the write still lands later. */
+    /** The delay of the store exceeds the timeout: the write is reported as unknown and still takes effect later. */
     @Test
-    void aCallSlowerThanTheTimeoutMayStillTakeEffect() {
+    void writeSlowerThanTheTimeoutIsUnknownAndStillTakesEffect() {
         store.setFaults(StoreFaults.none().withDelay(Duration.ofSeconds(4)));
         CompletableFuture<WriteResult> write = store.compareAndSet("key", 0, ONE);
         timers.advance(Duration.ofSeconds(1));
@@ -72,11 +72,11 @@
     }
 
     /**
-     * A holder is paused, its lease lapses, another takes it; the first, resumed, must not be told that it holds
-     * it.
+     * Guards against two holders of one lease: a holder is paused, its lease expires and another holder takes it. After
+     * the pause the first holder must not get the lease.
      */
     @Test
-    void aLapsedLeaseGoesToAnother() {
+    void expiredLeaseIsGrantedToAnotherHolder() {
         assertThat(store.lease("watcher", "node 1", LEASE)).isCompletedWithValue(true);
         assertThat(store.lease("watcher", "node 2", LEASE)).isCompletedWithValue(false);
         timers.advance(LEASE);
@@ -85,14 +85,14 @@
     }
 
     @Test
-    void withLapsingLeasesTwoMayHoldOneAtOnce() {
+    void lapsingLeaseIsGrantedToTwoHolders() {
         store.setFaults(StoreFaults.none().withLapsingLeases(true));
         assertThat(store.lease("watcher", "node 1", LEASE)).isCompletedWithValue(true);
         assertThat(store.lease("watcher", "node 2", LEASE)).isCompletedWithValue(true);
     }
 
     @Test
-    void aWatchEndsWithANewerVersionOrAtItsEnd() {
+    void watchCompletesWithANewerVersionOrEmptyAfterItsWait() {
         CompletableFuture<Optional<StoredValue>> watch = store.watch("key", 0, LEASE);
         assertThat(store.compareAndSet("key", 0, ONE)).isCompleted();
         timers.advance(Duration.ofNanos(1));
@@ -103,32 +103,33 @@
     }
 
     @Test
-    void aWatchFailsWhenTheStoreGoesDown() {
+    void watchFailsWhenTheStoreGoesDown() {
         CompletableFuture<Optional<StoredValue>> watch = store.watch("key", 0, LEASE);
         store.setFaults(StoreFaults.none().withDown(true));
         assertThat(watch).isCompletedExceptionally();
     }
 
-    /** Whatever is lost, a key's version counts the writes that took effect, and a told result is never false. */
+    /** With lost answers the version of a key counts the writes that took effect, and reported results are correct. */
     @Property(tries = 200)
-    void noToldResultIsFalse(@ForAll long seed) {
+    void lostAnswersNeverCauseAFalseResult(@ForAll long seed) {
         ManualTimerService clock = ManualTimerService.create();
         SplittableRandom random = new SplittableRandom(seed);
         InMemoryPlatformStore lossy = InMemoryPlatformStore.create(clock, random.split());
         lossy.setFaults(StoreFaults.none().withLoseShare(0.3));
-        long least = 0;
-        long most = 0;
+        long minVersion = 0;
+        long currentVersion = 0;
         for (int i = 0; i < 50; i++) {
-            CompletableFuture<WriteResult> write = lossy.compareAndSet("key", random.nextInt(4) == 0 ? 0 : most, ONE);
+            CompletableFuture<WriteResult> write =
+                    lossy.compareAndSet("key", random.nextInt(4) == 0 ? 0 : currentVersion, ONE);
             clock.advance(InMemoryPlatformStore.ANSWER_TIMEOUT);
             WriteResult.Kind kind = write.join().kind();
-            least += kind == WriteResult.Kind.APPLIED ? 1 : 0;
+            minVersion += kind == WriteResult.Kind.APPLIED ? 1 : 0;
             lossy.setFaults(StoreFaults.none());
-            most = lossy.get("key").join().map(StoredValue::version).orElse(0L);
+            currentVersion = lossy.get("key").join().map(StoredValue::version).orElse(0L);
             lossy.setFaults(StoreFaults.none().withLoseShare(0.3));
-            assertThat(most).isGreaterThanOrEqualTo(least);
-            least = kind == WriteResult.Kind.UNKNOWN ? most : least;
-            assertThat(least).isEqualTo(most);
+            assertThat(currentVersion).isGreaterThanOrEqualTo(minVersion);
+            minVersion = kind == WriteResult.Kind.UNKNOWN ? currentVersion : minVersion;
+            assertThat(minVersion).isEqualTo(currentVersion);
         }
     }
 }
--- a/src/test/java/io/beryldock/store/SharingFleet.java
+++ b/src/test/java/io/beryldock/store/SharingFleet.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 
-/** Nodes that tell each other of one store, on a clock of the test's; each can be stopped. Not thread safe. */
+/** Simulated nodes that share one store, on manual timers; each node can be stopped. Not thread safe. */
 public final class SharingFleet {
 
-    private static final Duration WAY = Duration.ofMillis(1);
-    private static final Duration ANSWER_LIMIT = Duration.ofMillis(800);
+    private static final Duration MESSAGE_DELAY = Duration.ofMillis(1);
+    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(800);
 
     private final FakeRegistry registry;
     private final ManualTimerService timers;
@@ -29,7 +29,7 @@
         this.timers = timers;
     }
 
-    /** One node: its way to the store, its sharing, and whether it takes and sends messages. */
+    /** One node: its timers, its connection to the store, its sharing, and whether it exchanges messages. */
     private static final class Member {
         private final String centre;
         private final SuspendableTimers timers;
@@ -44,11 +44,11 @@
         }
     }
 
-    /** Adds a node that follows nothing yet; all know it at once. */
+    /** Adds a node that does not follow a prefix yet; all nodes know it at once. */
     public StoreSharing add(String id, String centre) {
         NodeId self = NodeId.of(id);
-        SuspendableTimers own = new SuspendableTimers(timers);
-        Member member = new Member(centre, own, registry.view());
+        SuspendableTimers ownTimers = new SuspendableTimers(timers);
+        Member member = new Member(centre, ownTimers, registry.view());
         members.put(self, member);
         member.sharing = StoreSharing.create(
                 self,
@@ -56,8 +56,8 @@
                         member.view,
                         StoreRecovery.create(),
                         new Peers(self, centre),
-                        own,
-                        own.clock(),
+                        ownTimers,
+                        ownTimers.clock(),
                         new Random(id.hashCode())));
         return member.sharing;
     }
@@ -66,17 +66,17 @@
         return members.get(NodeId.of(id)).view;
     }
 
-    /** The node neither takes nor answers messages from now on; it goes on believing that it watches. */
+    /** Stops the node's messages in both directions; the node still acts as a watcher if it is one. */
     public void stop(String id) {
         members.get(NodeId.of(id)).stopped = true;
     }
 
-    /** The node takes messages again. */
+    /** Resumes the node's messages. */
     public void restart(String id) {
         members.get(NodeId.of(id)).stopped = false;
     }
 
-    /** Stops the node's steady clock and all that it does, or lets it go on. */
+    /** Suspends the node's monotonic clock and all of its tasks, or resumes them. */
     public void suspend(String id, boolean value) {
         members.get(NodeId.of(id)).timers.setSuspended(value);
     }
@@ -85,7 +85,7 @@
         return members.values().stream().mapToInt(member -> member.view.calls()).sum();
     }
 
-    /** What one node of the fleet sends to the others. */
+    /** The connection of one node to the other nodes. */
     private final class Peers implements StorePeers {
         private final NodeId self;
         private final String centre;
@@ -99,13 +99,13 @@
 
         @Override
         public ImmutableSet<NodeId> ownDataCentre() {
-            ImmutableSet.Builder<NodeId> own = ImmutableSet.builder();
+            ImmutableSet.Builder<NodeId> ownNodes = ImmutableSet.builder();
             members.forEach((id, member) -> {
                 if (member.centre.equals(centre)) {
-                    own.add(id);
+                    ownNodes.add(id);
                 }
             });
-            return own.build();
+            return ownNodes.build();
         }
 
         @Override
@@ -118,7 +118,9 @@
         @Override
         public CompletableFuture<ByteString> ask(NodeId node, ByteString question) {
             CompletableFuture<ByteString> answer = new CompletableFuture<>();
-            timers.after(ANSWER_LIMIT, () -> answer.completeExceptionally(new PlatformException("no answer")));
+            timers.after(
+                    ANSWER_TIMEOUT,
+                    () -> answer.completeExceptionally(new PlatformException("no answer from the node")));
             deliver(node, question, answer::complete);
             return answer;
         }
@@ -129,9 +131,9 @@
         }
 
         private void deliver(NodeId node, ByteString body, Consumer<ByteString> reply) {
-            Member to = members.get(node);
-            if (!to.stopped && !members.get(self).stopped) {
-                timers.after(WAY, () -> to.sharing.onMessage(self, body, reply));
+            Member receiver = members.get(node);
+            if (!receiver.stopped && !members.get(self).stopped) {
+                timers.after(MESSAGE_DELAY, () -> receiver.sharing.onMessage(self, body, reply));
             }
         }
     }
--- a/src/test/java/io/beryldock/store/StoreSharingTest.java
+++ b/src/test/java/io/beryldock/store/StoreSharingTest.java
@@ -18,19 +18,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Nineteen nodes of each of five data centres follow one prefix of the store. */
+/** Tests 95 simulated nodes, 19 in each of five data centres, that follow one prefix of the store. */
 final class StoreSharingTest {
 
     private static final String PREFIX = "nodes/";
     private static final int CENTRES = 5;
-    private static final int NODES_OF_A_CENTRE = 19;
+    private static final int NODES_PER_CENTRE = 19;
 
     private final ManualTimerService timers = ManualTimerService.create();
     private final FakeRegistry registry = new FakeRegistry(timers);
     private final SharingFleet fleet = new SharingFleet(registry, timers);
     private final Map<String, Copy> copies = new LinkedHashMap<>();
 
-    /** What one node has heard of the store. */
+    /** The entries that one node has received. */
     private static final class Copy implements EntryListener {
         private final TreeMap<String, ByteString> values = new TreeMap<>();
 
@@ -43,7 +43,7 @@
 
     private void start() {
         for (int centre = 0; centre < CENTRES; centre++) {
-            for (int node = 0; node < NODES_OF_A_CENTRE; node++) {
+            for (int node = 0; node < NODES_PER_CENTRE; node++) {
                 add("c" + centre + "-n" + node, "c" + centre);
             }
         }
@@ -66,7 +66,7 @@
     }
 
     private List<String> watchersOf(String centre) {
-        ImmutableSet<NodeId> members = IntStream.range(0, NODES_OF_A_CENTRE)
+        ImmutableSet<NodeId> members = IntStream.range(0, NODES_PER_CENTRE)
                 .mapToObj(node -> NodeId.of(centre + "-n" + node))
                 .collect(ImmutableSet.toImmutableSet());
         return members.stream()
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void changeIsKnownEverywhereWithinASecond() {
+    void changeReachesAllNodesWithinASecond() {
         start();
         write("a", "1");
         timers.advance(Duration.ofSeconds(1));
@@ -88,11 +88,12 @@
     }
 
     /**
-     * Story: a calm day of 95 nodes costs the platform 3,000 calls, as each change woke 95 watches, each of which was
-     * made again. One watch a data centre is woken now: a change costs five calls.
+     * Guards against load on the platform's store: if each change completed a watch of every one of 95 nodes, which all
+     * start a new watch, a day with few changes would cost 3,000 calls. With one watch per data centre a change costs
+     * five calls.
      */
     @Test
-    void changeWakesOneWatchADataCentre() {
+    void changeCompletesOneWatchPerDataCentre() {
         start();
         int before = fleet.calls();
         for (int i = 0; i < 20; i++) {
@@ -103,9 +104,9 @@
         assertThat(allHold("a", "19")).isTrue();
     }
 
-    /** Story: the watcher of a data centre dies, and its nodes never hear of a target that leaves. */
+    /** Guards against nodes that never learn that a target leaves because the watcher of their data centre failed. */
     @Test
-    void watchersThatDieAreReplacedWithinThreeSeconds() {
+    void failedWatchersAreReplacedWithinThreeSeconds() {
         start();
         watchersOf("c0").forEach(fleet::stop);
         watchersOf("c0").forEach(copies::remove);
@@ -114,9 +115,9 @@
         assertThat(allHold("a", "2")).isTrue();
     }
 
-    /** Story: the store turns away the watcher of a data centre and serves all others. */
+    /** Guards against nodes that lag because the store rejects the watcher of their data centre but no other node. */
     @Test
-    void watchersThatTheStoreTurnsAwayAreReplaced() {
+    void watchersRejectedByTheStoreAreReplaced() {
         start();
         watchersOf("c0").forEach(id -> fleet.view(id).setDown(true));
         write("a", "3");
@@ -125,11 +126,11 @@
     }
 
     /**
-     * Story: the connections of a data centre's watches go silent without an error; an order goes to a target that left
-     * seconds ago. Watchers elsewhere know more, which shows that the watch hears nothing.
+     * Guards against orders to a target that left seconds ago: the connections of a data centre's watches go silent
+     * without an error. The later revisions known to watchers of other data centres reveal the silent watch.
      */
     @Test
-    void silentWatchIsNoticedByWhatOthersKnow() {
+    void silentWatchIsDetectedByLaterRevisionsOfOtherNodes() {
         start();
         watchersOf("c0").forEach(id -> fleet.view(id).setSilent(true));
         write("a", "4");
@@ -137,9 +138,9 @@
         assertThat(allHold("a", "4")).isTrue();
     }
 
-    /** Story: 95 nodes that start at once all watch for each other, with a call for each of the first changes. */
+    /** Guards against a burst of calls when 95 nodes start at once and all of them watch the first changes. */
     @Test
-    void startOfAllNodesCostsAFewCallsEach() {
+    void simultaneousStartCostsFewCallsPerNode() {
         write("a", "0");
         start();
         IntStream.range(0, copies.size()).forEach(node -> write("n" + node, "1"));
@@ -148,24 +149,24 @@
         assertThat(fleet.calls()).isLessThanOrEqualTo(3 * copies.size());
     }
 
-    /** Story: an outage of the store makes each node call it again and again, which keeps it from coming back. */
+    /** Guards against an outage in which the retries of all nodes keep the store from recovering. */
     @Test
-    void outageBringsFewCallsAndTheNewsAfterIt() {
+    void outageCausesFewCallsAndChangesArriveAfterIt() {
         start();
         copies.keySet().forEach(id -> fleet.view(id).setDown(true));
         int before = fleet.calls();
         write("a", "5");
         timers.advance(Duration.ofSeconds(8));
-        int tried = fleet.calls() - before;
+        int callsDuringOutage = fleet.calls() - before;
         copies.keySet().forEach(id -> fleet.view(id).setDown(false));
         timers.advance(Duration.ofSeconds(3));
         assertThat(allHold("a", "5")).isTrue();
-        assertThat(tried).isLessThan(copies.size() * 16);
+        assertThat(callsDuringOutage).isLessThan(copies.size() * 16);
     }
 
-    /** A node that stands alone relies on nobody. */
+    /** A node that receives no answers from other nodes watches the store itself. */
     @Test
-    void nodeThatNobodyAnswersWatchesItself() {
+    void nodeWithoutAnswersWatchesTheStoreItself() {
         start();
         List<String> others =
                 copies.keySet().stream().filter(id -> !id.equals("c1-n7")).toList();
@@ -176,10 +177,10 @@
         assertThat(copies.get("c1-n7").values).containsKey(PREFIX + "a");
     }
 
-    /** Whatever changes while nodes die, lose the store and come back: all agree with the store in the end. */
+    /** After random changes and connection faults all nodes hold the same entries as the store. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void allAgreeWithTheStoreInTheEnd(long seed) {
+    void allNodesConvergeAfterConnectionFaults(long seed) {
         start();
         Random random = new Random(seed);
         List<String> ids = List.copyOf(copies.keySet());
@@ -209,9 +210,9 @@
         return stored;
     }
 
-    /** Guards against nodes that keep what the store lost, or miss what was written at revisions given out again. */
+    /** Guards against nodes that keep lost entries, or miss changes whose revision numbers were assigned twice. */
     @Test
-    void allAgreeWithTheStoreSoonAfterItCameBackFromAnOlderCopy() {
+    void allNodesConvergeAfterARestoreFromAnOlderCopy() {
         start();
         write("kept", "1");
         write("changed", "1");
@@ -227,9 +228,9 @@
         assertThat(copies.values()).allSatisfy(found -> assertThat(found.values).isEqualTo(stored()));
     }
 
-    /** Guards against a watch that waits in the new era for a revision of the old one, which it has by then. */
+    /** Guards against a watch that waits in the new era for a later revision number of the old era. */
     @Test
-    void watchFromAnEarlierEraIsMadeAnew() {
+    void watchOfAnEarlierEraIsReplaced() {
         start();
         FakeRegistry.Copy copy = registry.copy();
         write("a", "1");
@@ -242,9 +243,9 @@
         assertThat(allHold("a", "2")).isTrue();
     }
 
-    /** Guards against neighbours that believe a node which slept over several eras and tells of the first one. */
+    /** Guards against nodes that accept entries of the first era from a node that was suspended for several eras. */
     @Test
-    void nodeThatSleptOverSeveralErasIsNotBelieved() {
+    void entriesOfANodeSuspendedForSeveralErasAreIgnored() {
         start();
         String watcher = watchersOf("c0").get(0);
         FakeRegistry.Copy copy = registry.copy();
@@ -267,10 +268,10 @@
         assertThat(allHold("a", "new2")).isTrue();
     }
 
-    /** Whatever changes while the store comes back from copies, nodes die and lose it: all agree with it in the end. */
+    /** After random changes, restores, suspensions and connection faults all nodes hold the same entries as the store. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void allAgreeWithTheStoreOfTheLastEra(long seed) {
+    void allNodesConvergeAfterFaultsAndRestores(long seed) {
         start();
         Random random = new Random(seed);
         List<String> ids = List.copyOf(copies.keySet());
@@ -299,7 +300,7 @@
     }
 
     @Test
-    void malformedNoticeIsPassedOver() {
+    void malformedNoticeIsIgnored() {
         start();
         fleet.add("stranger", "c0").onMessage(NodeId.of("c0-n1"), ByteString.copyFromUtf8("rubbish"), unused -> {});
         write("a", "7");
--- a/src/test/java/io/beryldock/store/SuspendableTimers.java
+++ b/src/test/java/io/beryldock/store/SuspendableTimers.java
@@ -9,13 +9,13 @@
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 
-/** The timers and clocks of a VM that can be suspended: its time of day goes on, its steady clock does not. */
+/** Timers and clocks of a VM that can be suspended: the wall clock continues, the monotonic clock stops. */
 final class SuspendableTimers implements TimerService {
 
     private final ManualTimerService timers;
     private final Deque<Runnable> held = new ArrayDeque<>();
     private long suspendedAt;
-    private long lostNanos;
+    private long suspendedNanos;
     private boolean suspended;
 
     SuspendableTimers(ManualTimerService timers) {
@@ -31,7 +31,7 @@
             suspendedAt = timers.ticker().nanos();
             return;
         }
-        lostNanos += timers.ticker().nanos() - suspendedAt;
+        suspendedNanos += timers.ticker().nanos() - suspendedAt;
         while (!held.isEmpty()) {
             held.poll().run();
         }
@@ -62,6 +62,6 @@
 
     @Override
     public Ticker ticker() {
-        return () -> (suspended ? suspendedAt : timers.ticker().nanos()) - lostNanos;
+        return () -> (suspended ? suspendedAt : timers.ticker().nanos()) - suspendedNanos;
     }
 }
--- a/src/test/java/io/beryldock/store/VerificationTest.java
+++ b/src/test/java/io/beryldock/store/VerificationTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Nodes of three data centres know for how long nothing newer has been in the store. */
+/** Tests the verification of entries by nodes of three data centres. */
 final class VerificationTest {
 
     private static final String KEY = "document";
     private static final int CENTRES = 3;
-    private static final int NODES_OF_A_CENTRE = 5;
+    private static final int NODES_PER_CENTRE = 5;
 
-    /** What operators allow between taking a key away and the last request that it opens. */
+    /** The longest time that operators allow from revoking a key to the last request that it admits. */
     private static final Duration BOUND = Duration.ofSeconds(5);
 
     private static final Duration STEP = Duration.ofMillis(50);
@@ -33,7 +33,7 @@
     private final SharingFleet fleet = new SharingFleet(registry, timers);
     private final List<Reader> readers = new ArrayList<>();
 
-    /** One node: the newest number that it has read, and whether it would go by it now. */
+    /** One node: the latest number that it has read, and whether the number is verified. */
     private static final class Reader implements EntryListener {
         private final String id;
         private Verification verification;
@@ -50,18 +50,18 @@
             return true;
         }
 
-        boolean isCertain() {
+        boolean isVerified() {
             return verification.ageNanos().filter(age -> age < BOUND.toNanos()).isPresent();
         }
     }
 
-    /** A number that was written and when the store had it. */
+    /** A written number and the time of the write. */
     private record Written(int number, long at) {}
 
     private void start() {
         write(1);
         for (int centre = 0; centre < CENTRES; centre++) {
-            for (int node = 0; node < NODES_OF_A_CENTRE; node++) {
+            for (int node = 0; node < NODES_PER_CENTRE; node++) {
                 Reader reader = new Reader("c" + centre + "-n" + node);
                 StoreSharing sharing = fleet.add(reader.id, "c" + centre);
                 reader.verification = sharing.followVerified(KEY, Duration.ofMillis(20), reader);
@@ -79,22 +79,22 @@
         return timers.ticker().nanos();
     }
 
-    private int uncertain() {
-        return (int) readers.stream().filter(reader -> !reader.isCertain()).count();
+    private int countUnverified() {
+        return (int) readers.stream().filter(reader -> !reader.isVerified()).count();
     }
 
     @Test
-    void inCalmEveryNodeIsCertainAllTheTime() {
+    void withoutFaultsEveryNodeStaysVerified() {
         start();
         for (int i = 0; i < 600; i++) {
             timers.advance(STEP);
-            assertThat(uncertain()).isZero();
+            assertThat(countUnverified()).isZero();
         }
     }
 
-    /** A reading a second of the watcher of each data centre, and what watches end with; not one of each node. */
+    /** The watcher of each data centre lists the entries once per second and renews its watches; other nodes don't. */
     @Test
-    void certaintyCostsTheStoreACallASecondAndDataCentre() {
+    void verificationCostsOneCallPerSecondAndDataCentre() {
         start();
         int before = fleet.calls();
         timers.advance(Duration.ofSeconds(20));
@@ -102,17 +102,17 @@
     }
 
     /**
-     * Story: the node that watches for a data centre dies, and some seconds later callers of all its nodes are refused,
-     * although the store and all others are well: nobody told them any more that their keys hold.
+     * Guards against refused callers after the loss of one node: without the watcher of a data centre its other nodes
+     * would no longer verify their keys, although the store and these nodes work.
      */
     @Test
-    void lossOfAnyNodeMakesNoOtherUncertain() {
+    void lossOfOneNodeLeavesAllOthersVerified() {
         start();
         for (Reader lost : List.copyOf(readers)) {
             fleet.stop(lost.id);
             for (int i = 0; i < 160; i++) {
                 timers.advance(STEP);
-                assertThat(readers.stream().filter(reader -> reader != lost).allMatch(Reader::isCertain))
+                assertThat(readers.stream().filter(reader -> reader != lost).allMatch(Reader::isVerified))
                         .as("%s was lost", lost.id)
                         .isTrue();
             }
@@ -122,40 +122,40 @@
     }
 
     /**
-     * Story: a key is taken away, and a request with it still runs half a minute later at a VM that was cut off.
-     * It believed in its last document, as nothing told it that there may be a newer one.
+     * Guards against a revoked key that a partitioned VM still accepts half a minute later: the node must not rely on
+     * its last document when it can't verify that there is no newer one.
      */
     @Test
-    void nodeThatHearsNothingIsUncertainWithinTheBound() {
+    void isolatedNodeIsUnverifiedWithinTheBound() {
         start();
-        Reader cut = readers.get(0);
-        fleet.stop(cut.id);
-        fleet.view(cut.id).setSilent(true);
+        Reader isolated = readers.get(0);
+        fleet.stop(isolated.id);
+        fleet.view(isolated.id).setSilent(true);
         timers.advance(BOUND);
-        assertThat(cut.isCertain()).isFalse();
-        fleet.restart(cut.id);
-        fleet.view(cut.id).setSilent(false);
+        assertThat(isolated.isVerified()).isFalse();
+        fleet.restart(isolated.id);
+        fleet.view(isolated.id).setSilent(false);
         timers.advance(Duration.ofSeconds(2));
-        assertThat(cut.isCertain()).isTrue();
+        assertThat(isolated.isVerified()).isTrue();
     }
 
-    /** The same after a suspension, in which the steady clock stands still. */
+    /** Guards against the same fault after a suspension, during which the monotonic clock stops. */
     @Test
-    void nodeThatWasSuspendedIsUncertainAtOnce() {
+    void suspendedNodeIsUnverified() {
         start();
         Reader paused = readers.get(1);
         fleet.suspend(paused.id, true);
         timers.advance(Duration.ofSeconds(6));
-        assertThat(paused.isCertain()).isFalse();
+        assertThat(paused.isVerified()).isFalse();
     }
 
     /**
-     * Story: as above, with the answer of the store or of the watcher under way for seconds when the key is taken away.
-     * Counted from its arrival such an answer would look fresh; it is counted from its question.
+     * Guards against a revoked key that is still accepted because an answer of the store or of the watcher was delayed
+     * for seconds while the key was revoked. The age of an answer is counted from its question, not from its arrival.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void noCertainNodeIsBehindByMoreThanTheBound(long seed) {
+    void verifiedNodeNeverLagsByMoreThanTheBound(long seed) {
         Random random = new Random(seed);
         start();
         for (Reader reader : readers) {
@@ -163,34 +163,34 @@
         }
         Deque<Written> written = new ArrayDeque<>();
         int number = 1;
-        int overdue = 1;
-        int certain = 0;
+        int minNumber = 1;
+        int verifiedChecks = 0;
         for (int i = 0; i < 1200; i++) {
             if (random.nextInt(30) == 0) {
                 number++;
                 write(number);
                 written.add(new Written(number, now()));
             }
-            disturb(random);
+            injectFault(random);
             timers.advance(STEP);
             while (!written.isEmpty() && now() - written.peek().at() > BOUND.toNanos()) {
-                overdue = written.poll().number();
+                minNumber = written.poll().number();
             }
             for (Reader reader : readers) {
-                if (!reader.suspended && reader.isCertain()) {
-                    certain++;
-                    assertThat(reader.number).as("%s at step %d", reader.id, i).isGreaterThanOrEqualTo(overdue);
+                if (!reader.suspended && reader.isVerified()) {
+                    verifiedChecks++;
+                    assertThat(reader.number).as("%s at step %d", reader.id, i).isGreaterThanOrEqualTo(minNumber);
                 }
             }
         }
-        assertThat(certain).as("the disturbances leave some nodes certain").isGreaterThan(1000);
+        assertThat(verifiedChecks).as("number of checks of verified nodes").isGreaterThan(1000);
     }
 
     private static Duration delay(Random random) {
         return Duration.ofMillis(random.nextInt(10) == 0 ? random.nextInt(4000) : 1 + random.nextInt(5));
     }
 
-    private void disturb(Random random) {
+    private void injectFault(Random random) {
         Reader reader = readers.get(random.nextInt(readers.size()));
         switch (random.nextInt(24)) {
             case 0 -> fleet.stop(reader.id);
--- a/src/test/java/io/beryldock/timeline/EventRingBenchmark.java
+++ b/src/test/java/io/beryldock/timeline/EventRingBenchmark.java
@@ -17,7 +17,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What recording an event costs the thread that decides. Run by hand, see docs/DECISIONS/0014-time-line.md. */
+/** Measures the cost of recording an event. Run manually, see docs/DECISIONS/0014-time-line.md. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -33,14 +33,14 @@
     private final Incarnation incarnation = new Incarnation(1, 2);
     private long counter;
 
-    /** A decision over one request, counted in its window and kept beside the ring. */
+    /** A decision on one request, which is aggregated in its window and retained for lookups by request. */
     @Benchmark
     public void shed() {
         Optional<RequestId> request = Optional.of(new RequestId(incarnation, ++counter));
         ring.record(EventKind.SHED_AT_DOOR, request, "holdings", "class browsing, level 832 of 1024");
     }
 
-    /** An event of its own. */
+    /** An event that is not aggregated. */
     @Benchmark
     public void levelChanged() {
         ring.record(EventKind.LEVEL_CHANGED, "holdings", "1024 to 832");
--- a/src/test/java/io/beryldock/timeline/EventRingMemoryMeasurement.java
+++ b/src/test/java/io/beryldock/timeline/EventRingMemoryMeasurement.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.Random;
 
-/** Prints the heap that a full ring of a node's size keeps; run by hand. */
+/** Prints the heap that a full ring with the capacity of a node's ring retains. Run manually. */
 final class EventRingMemoryMeasurement {
 
     private static final int CAPACITY = 4096;
--- a/src/test/java/io/beryldock/timeline/EventRingTest.java
+++ b/src/test/java/io/beryldock/timeline/EventRingTest.java
@@ -40,11 +40,11 @@
     }
 
     /**
-     * In an overload a node sheds thousands of requests a second, and an operator looks for the change of level that
-     * began it: it is gone, pushed out of the bounded ring by the shed decisions that followed from it.
+     * Guards against the loss of the cause of an overload: a node sheds thousands of requests per second, and these
+     * decisions must not evict the change of level that caused them from the bounded ring.
      */
     @Test
-    void floodOfShedDecisionsLeavesTheirCauseInTheRing() {
+    void shedDecisionsDoNotEvictTheirCause() {
         ring.record(EventKind.LEVEL_CHANGED, "holdings", "1024 to 832");
         for (int i = 0; i < 50_000; i++) {
             now += i % 10 == 0 ? 1 : 0;
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void firstOfACountedKindStandsAtOnce() {
+    void firstEventOfAnAggregatedKindIsVisibleAtOnce() {
         ring.record(EventKind.SHED_AT_TARGET, about(1), "lists", "queue full");
         assertThat(ring.since(HlcTime.ZERO)).singleElement().satisfies(event -> {
             assertThat(event.count()).isEqualTo(1);
@@ -65,31 +65,31 @@
         });
     }
 
-    /** A reader asks why his page was refused; in the ring his request is one of 200 counted under another's id. */
+    /** Guards against a refused request that can't be explained because its event is aggregated under another request. */
     @Test
-    void everyRecentRequestIsFoundThoughItWasCounted() {
+    void everyRecentRequestIsFoundAlthoughItsEventIsAggregated() {
         for (int i = 0; i < 200; i++) {
             ring.record(EventKind.SHED_AT_DOOR, about(i), "holdings", "decision " + i);
         }
         for (int i = 0; i < 200; i++) {
             assertThat(ring.find(request(i))).singleElement().matches(event -> event.count() == 1);
         }
-        ring.record(EventKind.SHED_AT_DOOR, about(200), "holdings", "one too many");
+        ring.record(EventKind.SHED_AT_DOOR, about(200), "holdings", "decision that evicts the oldest");
         assertThat(ring.find(request(0))).isEmpty();
     }
 
     @Test
-    void explanationNamesTheStateThatTheDecisionFollowedFrom() {
+    void explanationContainsTheLastStateBeforeTheDecision() {
         ring.record(EventKind.LEVEL_CHANGED, "holdings", "first");
         ring.record(EventKind.LEVEL_CHANGED, "holdings", "second");
-        ring.record(EventKind.LEVEL_CHANGED, "lists", "of another service");
+        ring.record(EventKind.LEVEL_CHANGED, "lists", "state of another service");
         ring.record(EventKind.SHED_AT_DOOR, about(7), "holdings", "shed");
-        ring.record(EventKind.LEVEL_CHANGED, "holdings", "after it");
+        ring.record(EventKind.LEVEL_CHANGED, "holdings", "state after the decision");
         assertThat(ring.explain(request(7))).extracting(Event::detail).containsExactly("second", "shed");
     }
 
     @Property(tries = 200, seed = "41")
-    void countsSumToTheRecordsHoweverTheySpread(
+    void countsSumToTheNumberOfRecordedEvents(
             @ForAll Random random, @ForAll @IntRange(min = 1, max = 600) int records) {
         EventRing large = ring(10_000);
         for (int i = 0; i < records; i++) {
--- a/src/test/java/io/beryldock/timeline/HybridLogicalClockTest.java
+++ b/src/test/java/io/beryldock/timeline/HybridLogicalClockTest.java
@@ -16,7 +16,7 @@
     private final HybridLogicalClock clock = HybridLogicalClock.create(() -> Instant.ofEpochMilli(wall));
 
     @Test
-    void timeRisesThoughTheWallClockStandsOrGoesBack() {
+    void timeRisesWhenTheWallClockStopsOrGoesBack() {
         HlcTime last = clock.now();
         for (int i = 0; i < 200_000; i++) {
             wall -= i % 1000 == 0 ? 1 : 0;
@@ -27,27 +27,27 @@
     }
 
     @Test
-    void timeComesAfterWhatWasObserved() {
+    void timeIsLaterThanAnObservedTime() {
         HlcTime remote = new HlcTime(wall + 300, 9);
         assertThat(clock.observe(remote)).isTrue();
         assertThat(clock.now()).isEqualTo(new HlcTime(wall + 300, 10));
     }
 
     /**
-     * One machine starts with its wall clock a year ahead. Every node that hears from it shows its events in the next
-     * year too, hands that time on, and the time line of the deployment can't be read any more.
+     * Guards against an unreadable time line: one machine starts with its wall clock a year ahead, and every node that
+     * adopts its time records events in the next year and propagates that time.
      */
     @Test
-    void clockFarAheadIsNotFollowed() {
-        HlcTime edge = HlcTime.ofMillis(wall + HybridLogicalClock.MAX_DRIFT.toMillis());
-        assertThat(clock.observe(edge)).isTrue();
-        assertThat(clock.observe(HlcTime.ofMillis(edge.millis() + 1))).isFalse();
+    void timeTooFarAheadIsRejected() {
+        HlcTime latestAccepted = HlcTime.ofMillis(wall + HybridLogicalClock.MAX_DRIFT.toMillis());
+        assertThat(clock.observe(latestAccepted)).isTrue();
+        assertThat(clock.observe(HlcTime.ofMillis(latestAccepted.millis() + 1))).isFalse();
         assertThat(clock.rejected()).isEqualTo(1);
-        assertThat(clock.now()).isEqualTo(new HlcTime(edge.millis(), 1));
+        assertThat(clock.now()).isEqualTo(new HlcTime(latestAccepted.millis(), 1));
     }
 
     @Property(tries = 500, seed = "41")
-    void formsReadBackAndKeepTheOrder(
+    void packedAndTextFormsRoundTripAndTheNextMillisecondIsLater(
             @ForAll @LongRange(min = 0, max = 4_000_000_000_000L) long millis,
             @ForAll @IntRange(min = 0, max = HlcTime.MAX_COUNTER) int counter) {
         HlcTime time = new HlcTime(millis, counter);
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void malformedTimeIsRefused() {
+    void malformedTimeIsRejected() {
         assertThatThrownBy(() -> HlcTime.parse("2026-02-09T08:00:00Z")).hasMessageContaining("INSTANT/COUNTER");
         assertThatThrownBy(() -> HlcTime.parse("noon/1")).hasMessageContaining("INSTANT/COUNTER");
     }
--- a/src/test/java/io/beryldock/timeline/RefusalCounterTest.java
+++ b/src/test/java/io/beryldock/timeline/RefusalCounterTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void countsReachBackAsFarAsAsked() {
+    void countsCoverTheRequestedTimeSpan() {
         for (int minute = 0; minute < 120; minute++) {
             record("lists");
             timers.advance(Duration.ofMinutes(1));
@@ -36,9 +36,9 @@
         assertThat(last(RefusalCounter.SPAN)).isZero();
     }
 
-    /** Callers ask for thousands of services that do not exist; the table of counts must not grow with them. */
+    /** Guards against unbounded memory when callers request thousands of services that don't exist. */
     @Test
-    void namesAreBoundedAndNoRefusalIsLost() {
+    void numberOfNamesIsBoundedAndEveryRefusalIsCounted() {
         for (int i = 0; i < 5_000; i++) {
             record("service-" + i);
         }
--- a/src/test/java/io/beryldock/timeline/SeededTimeline.java
+++ b/src/test/java/io/beryldock/timeline/SeededTimeline.java
@@ -13,8 +13,8 @@
 import java.util.Random;
 
 /**
- * A seeded run of a few nodes whose wall clocks differ: holdings slows for a spell, callers are shed, a node is lost
- * and the configuration changes. Each message between nodes carries the sender's clock.
+ * A seeded simulation of a few nodes whose wall clocks differ: the service holdings is slow for some time, requests are
+ * shed, a node is lost and the configuration changes. Each message between nodes carries the sender's clock.
  */
 public final class SeededTimeline {
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /** The rings after the run. */
+    /** Runs the simulation and returns the event rings of its nodes. */
     public static ImmutableList<EventRing> run(long seed, int nodesPerDataCentre, int shedPerTick) {
         SeededTimeline run = new SeededTimeline(seed, nodesPerDataCentre);
         run.start();
@@ -61,29 +61,29 @@
         for (EventRing ring : rings) {
             ring.record(EventKind.NODE_STARTED, ring.node().value(), "callers at 10.0.0.1:8080");
             ring.record(EventKind.TARGET_ANNOUNCED, "lists", "15 slots, ready");
-            tick(30);
+            advance(30);
         }
         rings.get(0).record(EventKind.CONFIGURATION_CHANGED, "class browsing", "priority 6 to 7 by lien, version 12");
-        spread(rings.get(0), EventKind.CONFIGURATION_APPLIED, "version 12", "from a peer");
-        tick(1500);
+        propagate(rings.get(0), EventKind.CONFIGURATION_APPLIED, "version 12", "from a peer");
+        advance(1500);
     }
 
     private void overload(int shedPerTick) {
         EventRing first = rings.get(0);
         first.record(EventKind.LIMIT_CHANGED, "holdings", "15 to 6, answers take 410 ms against 82 ms");
-        tick(120);
+        advance(120);
         first.record(EventKind.LEVEL_CHANGED, "holdings", "1024 to 832");
-        spread(first, EventKind.LEVEL_CHANGED, "holdings", "1024 to 832, learned from an answer");
+        propagate(first, EventKind.LEVEL_CHANGED, "holdings", "1024 to 832, learned from an answer");
         for (int step = 0; step < 40; step++) {
             for (int i = 0; i < shedPerTick; i++) {
                 shed();
             }
-            tick(100);
+            advance(100);
         }
         EventRing lost = rings.get(rings.size() - 1);
         lost.record(EventKind.STORE_DOWN, "platform", "no answer for 2 s");
         first.record(EventKind.MEMBER_SUSPECTED, lost.node().value(), "no answer to a ping, nor by 3 others");
-        tick(1000);
+        advance(1000);
     }
 
     private void shed() {
@@ -101,26 +101,26 @@
     private void recover() {
         EventRing first = rings.get(0);
         first.record(EventKind.LIMIT_CHANGED, "holdings", "6 to 15, answers take 84 ms");
-        spread(first, EventKind.LEVEL_CHANGED, "holdings", "832 to 1024, learned from an answer");
+        propagate(first, EventKind.LEVEL_CHANGED, "holdings", "832 to 1024, learned from an answer");
         EventRing lost = rings.get(rings.size() - 1);
         lost.record(EventKind.STORE_BACK, "platform", "after 3 s");
         first.record(EventKind.DRAIN_STARTED, first.node().value(), "by lien, 4 in flight");
-        tick(700);
+        advance(700);
         first.record(EventKind.DRAIN_ENDED, first.node().value(), "nothing in flight");
     }
 
-    private void spread(EventRing from, EventKind kind, String subject, String detail) {
+    private void propagate(EventRing from, EventKind kind, String subject, String detail) {
         HlcTime sent = from.clock().now();
         for (EventRing ring : rings) {
             if (ring != from) {
-                tick(random.nextInt(8));
+                advance(random.nextInt(8));
                 ring.clock().observe(sent);
                 ring.record(kind, subject, detail);
             }
         }
     }
 
-    private void tick(long millis) {
+    private void advance(long millis) {
         now += millis;
     }
 }
--- a/src/test/java/io/beryldock/timeline/TimelineHtmlWriterTest.java
+++ b/src/test/java/io/beryldock/timeline/TimelineHtmlWriterTest.java
@@ -14,7 +14,7 @@
 class TimelineHtmlWriterTest {
 
     @Test
-    void pageNeedsNothingBesideIt() throws IOException {
+    void pageIsSelfContained() throws IOException {
         String page = TimelineHtmlWriter.write(SeededTimeline.merged(SeededTimeline.run(41, 6, 40)));
         Files.writeString(Files.createDirectories(Path.of("target")).resolve("timeline.html"), page);
         assertThat(page).doesNotContain("src=", "<link", "http:", "https:", "@import", "url(");
@@ -22,16 +22,16 @@
     }
 
     @Test
-    void everyKindHasAColourOfItsOwn() {
+    void everyKindHasAColour() {
         String page = TimelineHtmlWriter.write(ImmutableList.of());
         for (EventKind kind : EventKind.values()) {
             assertThat(page).contains("'" + kind + "'");
         }
     }
 
-    /** An operator opens a page whose events hold a path that a caller chose; the caller's script would run in it. */
+    /** Guards against script injection: events contain paths chosen by callers, and an operator opens the page. */
     @Test
-    void textOfCallersIsNotMarkup() {
+    void textOfCallersIsEscaped() {
         Event event = new Event(
                 1,
                 HlcTime.ofMillis(5),
--- a/src/test/java/io/beryldock/timeline/TimelineMergerTest.java
+++ b/src/test/java/io/beryldock/timeline/TimelineMergerTest.java
@@ -15,14 +15,14 @@
     private static final long SEED = 41;
 
     @Test
-    void seededRunsReadTheSame() {
+    void seededRunMatchesTheGoldenFiles() {
         ImmutableList<Event> events = SeededTimeline.merged(SeededTimeline.run(SEED, 2, 6));
         GoldenFile.check("timeline.txt", TimelineTextWriter.write(events));
         GoldenFile.check("timeline.jsonl", TimelineJsonWriter.write(events));
     }
 
     @Test
-    void orderAndRepetitionOfThePartsDoNotMatter() {
+    void orderAndRepetitionOfPartsDoNotChangeTheResult() {
         List<ImmutableList<Event>> parts = SeededTimeline.run(SEED, 3, 4).stream()
                 .map(ring -> ring.since(HlcTime.ZERO))
                 .collect(Collectors.toList());
@@ -33,12 +33,11 @@
     }
 
     /**
-     * An operator reads that a node applied a configuration before the node that changed it had done so: the machines'
-     * wall clocks differ by up to 40 ms, and the message took less. Sorted by wall clocks alone, the effect stands
-     * above its cause.
+     * Guards against an effect that precedes its cause, such as a configuration that is applied before it is changed.
+     * Wall clocks differ by up to 40 ms and messages take less, so that an order by wall clocks alone would be wrong.
      */
     @Test
-    void causesComeBeforeEffectsThoughWallClocksDiffer() {
+    void causePrecedesEffectWhenWallClocksDiffer() {
         for (long seed = 0; seed < 200; seed++) {
             List<EventKind> kinds = SeededTimeline.merged(SeededTimeline.run(seed, 3, 0)).stream()
                     .map(Event::kind)
