--- a/src/main/java/io/beryldock/store/StoreSharing.java
+++ b/src/main/java/io/beryldock/store/StoreSharing.java
@@ -323,7 +323,7 @@
         return StoreNotice.newBuilder().setEra(eras().newest());
     }
 
-    /** Forwards changes received from another data centre to the own one, as the store may reject this data centre. */
+    /** Forwards changes received from another data centre, as the store may reject all nodes of this data centre. */
     private void forwardChanges(SharedFollower follower, StoreRevision before, NodeId sender) {
         boolean changed = follower.revision().isAfter(before);
         if (changed && !ports.peers().ownDataCentre().contains(sender)) {
