--- a/src/main/java/io/beryldock/admission/DoorShedder.java
+++ b/src/main/java/io/beryldock/admission/EntryShedder.java
@@ -19,7 +19,7 @@
  * <p>Invariants: a service for which nothing was reported within {@link RouteLevel#OPEN_AFTER_NANOS} is open; memory is
  * held only for services that do not admit all requests. Thread safe; decisions take no lock.
  */
-public final class DoorShedder {
+public final class EntryShedder {
 
     private final Ticker ticker;
     private final RandomGenerator random;
@@ -27,7 +27,7 @@
     private final EventSampler shedSampler;
     private final Map<ServiceName, RouteLevel> closed = new ConcurrentHashMap<>();
 
-    private DoorShedder(Ticker ticker, RandomGenerator random, EventSink events) {
+    private EntryShedder(Ticker ticker, RandomGenerator random, EventSink events) {
         this.ticker = ticker;
         this.random = random;
         this.events = events;
@@ -35,8 +35,8 @@
     }
 
     /** Creates a shedder that admits all requests at first; the generator must be thread safe. */
-    public static DoorShedder create(Ticker ticker, RandomGenerator random, EventSink events) {
-        return new DoorShedder(ticker, random, events);
+    public static EntryShedder create(Ticker ticker, RandomGenerator random, EventSink events) {
+        return new EntryShedder(ticker, random, events);
     }
 
     /**
@@ -69,20 +69,20 @@
     }
 
     /** Decides whether a request of this rank and caller to the service may start. */
-    public DoorDecision decide(ServiceName service, int rank, int callerHash) {
+    public ShedDecision decide(ServiceName service, int rank, int callerHash) {
         RouteLevel route = closed.get(service);
         if (route == null || route.open(rank)) {
-            return DoorDecision.admit();
+            return ShedDecision.admit();
         }
         long now = ticker.nanos();
         int level = route.level(rank, now);
         if (level >= ServiceLevel.OPEN || CallerHash.position(rank, callerHash) < level || route.takeProbe(rank, now)) {
-            return DoorDecision.admit();
+            return ShedDecision.admit();
         }
-        if (shedSampler.take(now)) {
+        if (shedSampler.shouldRecord(now)) {
             shedSampler.record(Optional.empty(), service.value(), "rank " + rank + " at level " + level);
         }
-        return DoorDecision.shed(RetryAfter.millis(random));
+        return ShedDecision.shed(RetryAfter.millis(random));
     }
 
     /** Returns the lowest level that applies to any rank of the service at this entry node, for operators. */
--- a/src/main/java/io/beryldock/admission/GateEvents.java
+++ b/src/main/java/io/beryldock/admission/GateEvents.java
@@ -38,7 +38,7 @@
     }
 
     void refused(GateEntry entry, Reason reason, long now) {
-        if (shedSampler.take(now)) {
+        if (shedSampler.shouldRecord(now)) {
             String detail = "rank " + entry.request().rank() + ": " + reason.message();
             shedSampler.record(Optional.of(entry.request().id()), subject, detail);
         }
--- a/src/main/java/io/beryldock/admission/DoorDecision.java
+++ b/src/main/java/io/beryldock/admission/ShedDecision.java
@@ -7,15 +7,15 @@
  *
  * @param retryAfterMillis delay after which a shed caller may retry, 0 for an admitted request
  */
-public record DoorDecision(boolean admitted, long retryAfterMillis) {
+public record ShedDecision(boolean admitted, long retryAfterMillis) {
 
-    private static final DoorDecision ADMITTED = new DoorDecision(true, 0);
+    private static final ShedDecision ADMITTED = new ShedDecision(true, 0);
 
-    static DoorDecision admit() {
+    static ShedDecision admit() {
         return ADMITTED;
     }
 
-    static DoorDecision shed(long retryAfterMillis) {
-        return new DoorDecision(false, retryAfterMillis);
+    static ShedDecision shed(long retryAfterMillis) {
+        return new ShedDecision(false, retryAfterMillis);
     }
 }
--- a/src/main/java/io/beryldock/call/TargetLoad.java
+++ b/src/main/java/io/beryldock/call/TargetLoad.java
@@ -24,7 +24,7 @@
     }
 
     /** Number of requests that could run now without queueing. */
-    public int free() {
+    public int freeSlots() {
         return draining ? 0 : Math.max(0, limit - running - queued);
     }
 }
--- a/src/main/java/io/beryldock/cli/PlatformNodeSubcommand.java
+++ b/src/main/java/io/beryldock/cli/PlatformNodeSubcommand.java
@@ -38,7 +38,7 @@
             return FAILED;
         }
         // Without a handler the signal ends the virtual machine.
-        Signals.register("HUP", () -> PlatformNode.checkChanged(file.toPath()));
+        Signals.register("HUP", () -> PlatformNode.checkChangedSettings(file.toPath()));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node), "planned-stop"));
         new CountDownLatch(1).await();
         return OK;
--- a/src/main/java/io/beryldock/cli/RecordClassesSubcommand.java
+++ b/src/main/java/io/beryldock/cli/RecordClassesSubcommand.java
@@ -25,7 +25,7 @@
     public int run(PrintStream out, PrintStream err) throws InterruptedException {
         try (StandinPlatform platform = StandinPlatform.start()) {
             int served = platform.exercise(requests);
-            platform.requestRefusals();
+            platform.sendRefusedRequests();
             // Classes of timers that come seldom belong to the archive too.
             TimeUnit.SECONDS.sleep(REST_SECONDS);
             out.println("requests answered: " + served);
--- a/src/main/java/io/beryldock/command/OperatorPorts.java
+++ b/src/main/java/io/beryldock/command/OperatorPorts.java
@@ -2,7 +2,7 @@
 
 import io.beryldock.call.DataCentre;
 import io.beryldock.call.NodeId;
-import io.beryldock.configuration.ConfigurationKeeper;
+import io.beryldock.configuration.ActiveConfiguration;
 import io.beryldock.membership.Directory;
 import io.beryldock.peer.PeerTransport;
 import io.beryldock.time.TimerService;
@@ -27,7 +27,7 @@
         Supplier<Directory> directory,
         PeerTransport transport,
         NodeInspector inspector,
-        ConfigurationKeeper configuration,
+        ActiveConfiguration configuration,
         ConfigurationChanger changer,
         InForceCheck inForce,
         LocalTarget target,
--- a/src/main/java/io/beryldock/command/OperatorService.java
+++ b/src/main/java/io/beryldock/command/OperatorService.java
@@ -42,7 +42,7 @@
     public static OperatorService create(OperatorPorts ports) {
         OperatorService service = new OperatorService(ports);
         QueryPeerHandler handler = QueryPeerHandler.create(service.local, service.gatherer, service.commander);
-        ports.transport().handle(PeerTopic.QUERY, handler);
+        ports.transport().registerHandler(PeerTopic.QUERY, handler);
         return service;
     }
 
--- a/src/main/java/io/beryldock/command/StoreConfigurationChanger.java
+++ b/src/main/java/io/beryldock/command/StoreConfigurationChanger.java
@@ -2,10 +2,10 @@
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableSet;
+import io.beryldock.configuration.ActiveConfiguration;
 import io.beryldock.configuration.ChangeResult;
 import io.beryldock.configuration.Configuration;
 import io.beryldock.configuration.ConfigurationChange;
-import io.beryldock.configuration.ConfigurationKeeper;
 import io.beryldock.configuration.ConfigurationWriter;
 import io.beryldock.configuration.RetrySetting;
 import io.beryldock.configuration.Route;
@@ -30,14 +30,14 @@
     private static final ImmutableSet<String> SAFE_METHODS = ImmutableSet.of("GET", "HEAD", "OPTIONS");
 
     private final ConfigurationWriter writer;
-    private final ConfigurationKeeper keeper;
+    private final ActiveConfiguration keeper;
 
-    private StoreConfigurationChanger(ConfigurationWriter writer, ConfigurationKeeper keeper) {
+    private StoreConfigurationChanger(ConfigurationWriter writer, ActiveConfiguration keeper) {
         this.writer = writer;
         this.keeper = keeper;
     }
 
-    public static StoreConfigurationChanger create(ConfigurationWriter writer, ConfigurationKeeper keeper) {
+    public static StoreConfigurationChanger create(ConfigurationWriter writer, ActiveConfiguration keeper) {
         return new StoreConfigurationChanger(writer, keeper);
     }
 
--- a/src/main/java/io/beryldock/configuration/ConfigurationKeeper.java
+++ b/src/main/java/io/beryldock/configuration/ActiveConfiguration.java
@@ -16,7 +16,7 @@
  * <p>Invariants, checked at run time: the version only increases; each version is created by exactly one change.
  * Confined to the control thread, except {@link #current()} and {@link #changes()}, which any thread may call.
  */
-public final class ConfigurationKeeper {
+public final class ActiveConfiguration {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
 
@@ -29,23 +29,23 @@
     private volatile Configuration current;
     private volatile ChangeLog changes = ChangeLog.empty();
 
-    private ConfigurationKeeper(Configuration defaults, EventSink events, VersionRule rule) {
+    private ActiveConfiguration(Configuration defaults, EventSink events, VersionRule rule) {
         this.current = defaults;
         this.events = events;
         this.rule = rule;
     }
 
     /** Creates an instance with the defaults in force. */
-    public static ConfigurationKeeper create(Configuration defaults, EventSink events) {
+    public static ActiveConfiguration create(Configuration defaults, EventSink events) {
         return create(defaults, events, HIGHER_ONLY);
     }
 
-    public static ConfigurationKeeper create(Configuration defaults) {
+    public static ActiveConfiguration create(Configuration defaults) {
         return create(defaults, EventSink.none());
     }
 
-    static ConfigurationKeeper create(Configuration defaults, EventSink events, VersionRule rule) {
-        return new ConfigurationKeeper(defaults, events, rule);
+    static ActiveConfiguration create(Configuration defaults, EventSink events, VersionRule rule) {
+        return new ActiveConfiguration(defaults, events, rule);
     }
 
     /** Decides which version may replace which. */
--- a/src/main/java/io/beryldock/configuration/ConfigurationHistory.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationHistory.java
@@ -19,15 +19,15 @@
     public static final int MAX_CHANGES = 1024;
 
     private final ConfigurationStore reader;
-    private final ConfigurationKeeper activeConfiguration;
+    private final ActiveConfiguration activeConfiguration;
 
-    private ConfigurationHistory(ConfigurationStore reader, ConfigurationKeeper activeConfiguration) {
+    private ConfigurationHistory(ConfigurationStore reader, ActiveConfiguration activeConfiguration) {
         this.reader = reader;
         this.activeConfiguration = activeConfiguration;
     }
 
     public static ConfigurationHistory create(
-            PlatformStore store, TimerService timers, ConfigurationKeeper activeConfiguration) {
+            PlatformStore store, TimerService timers, ActiveConfiguration activeConfiguration) {
         return new ConfigurationHistory(ConfigurationStore.of(TimedStore.of(store, timers)), activeConfiguration);
     }
 
--- a/src/main/java/io/beryldock/configuration/ConfigurationStore.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationStore.java
@@ -88,7 +88,7 @@
                 .filter(record -> record.version() > after && record.version() <= head.reach())
                 .forEach(all::add);
         ImmutableList<ChangeRecord> joined = all.addAll(head.records()).build();
-        ImmutableList<ChangeRecord> following = ConfigurationKeeper.contiguousAfter(after, joined);
+        ImmutableList<ChangeRecord> following = ActiveConfiguration.contiguousAfter(after, joined);
         if (following.size() != head.version() - after) {
             return unreadable("changes after version " + after + " were replaced while they were read");
         }
--- a/src/main/java/io/beryldock/configuration/ConfigurationSync.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationSync.java
@@ -62,7 +62,7 @@
     private static final long PAUSE_NANOS = DIGEST_PERIOD.multipliedBy(2).toNanos();
 
     private final NodeDescriptor self;
-    private final ConfigurationKeeper activeConfiguration;
+    private final ActiveConfiguration activeConfiguration;
     private final Ports ports;
     private final StoreWatch watch;
     private final DigestExchange digests;
@@ -76,7 +76,7 @@
     private long lastMessageAt;
     private long selectedAt;
 
-    private ConfigurationSync(NodeDescriptor self, ConfigurationKeeper activeConfiguration, Ports ports) {
+    private ConfigurationSync(NodeDescriptor self, ActiveConfiguration activeConfiguration, Ports ports) {
         this.self = self;
         this.activeConfiguration = activeConfiguration;
         this.ports = ports;
@@ -110,7 +110,7 @@
             RandomGenerator random,
             EventSink events) {}
 
-    public static ConfigurationSync create(NodeDescriptor self, ConfigurationKeeper activeConfiguration, Ports ports) {
+    public static ConfigurationSync create(NodeDescriptor self, ActiveConfiguration activeConfiguration, Ports ports) {
         return new ConfigurationSync(self, activeConfiguration, ports);
     }
 
--- a/src/main/java/io/beryldock/configuration/ConfigurationWriter.java
+++ b/src/main/java/io/beryldock/configuration/ConfigurationWriter.java
@@ -32,7 +32,7 @@
             Executor control, TimerService timers, InstantSource clock, RandomGenerator random, EventSink events) {}
 
     public static ConfigurationWriter create(
-            PlatformStore store, ConfigurationKeeper activeConfiguration, Ports ports) {
+            PlatformStore store, ActiveConfiguration activeConfiguration, Ports ports) {
         return new ConfigurationWriter(
                 WriterContext.of(TimedStore.of(store, ports.timers()), activeConfiguration, ports));
     }
--- a/src/main/java/io/beryldock/configuration/DigestExchange.java
+++ b/src/main/java/io/beryldock/configuration/DigestExchange.java
@@ -28,7 +28,7 @@
     private static final int MAX_KNOWN_PEERS = 64;
     private static final long REQUEST_INTERVAL_NANOS = Duration.ofMillis(300).toNanos();
 
-    private final ConfigurationKeeper activeConfiguration;
+    private final ActiveConfiguration activeConfiguration;
     private final Messenger messenger;
     private final Ticker ticker;
     private final Consumer<InetSocketAddress> fetchDocument;
@@ -44,7 +44,7 @@
     private long requestedVersion = -1;
 
     private DigestExchange(
-            ConfigurationKeeper activeConfiguration,
+            ActiveConfiguration activeConfiguration,
             Messenger messenger,
             Ticker ticker,
             Consumer<InetSocketAddress> fetchDocument) {
@@ -60,7 +60,7 @@
      * @param fetchDocument fetches the full document from a peer whose change log does not reach back far enough
      */
     static DigestExchange create(
-            ConfigurationKeeper activeConfiguration,
+            ActiveConfiguration activeConfiguration,
             Messenger messenger,
             Ticker ticker,
             Consumer<InetSocketAddress> fetchDocument) {
--- a/src/main/java/io/beryldock/configuration/DocumentSync.java
+++ b/src/main/java/io/beryldock/configuration/DocumentSync.java
@@ -21,7 +21,7 @@
     /** Pause between two watches. Documents are replaced rarely, and a delayed update costs more than a store call. */
     private static final Duration WATCH_PAUSE = Duration.ofMillis(20);
 
-    private final ConfigurationKeeper activeConfiguration;
+    private final ActiveConfiguration activeConfiguration;
     private final StoreSharing sharing;
     private final String key;
     private final DocumentDecoder decoder;
@@ -31,7 +31,7 @@
     private volatile StoreSharing.Verification verification = Optional::empty;
 
     private DocumentSync(
-            ConfigurationKeeper activeConfiguration,
+            ActiveConfiguration activeConfiguration,
             StoreSharing sharing,
             String key,
             DocumentDecoder decoder,
@@ -51,7 +51,7 @@
      *     one read per second and data centre
      */
     public static DocumentSync create(
-            ConfigurationKeeper activeConfiguration,
+            ActiveConfiguration activeConfiguration,
             StoreSharing sharing,
             String key,
             DocumentDecoder decoder,
@@ -123,13 +123,13 @@
         }
 
         @Override
-        public Optional<Entry> kept() {
+        public Optional<Entry> retainedEntry() {
             return storeOutdated ? Optional.ofNullable(inForce) : Optional.empty();
         }
 
         /** Guards against a node that starts with an outdated document after the store was reset to an older state. */
         @Override
-        public void onKept(Entry entry) {
+        public void onRetainedEntry(Entry entry) {
             if (!entry.key().equals(key) || entry.value().isEmpty()) {
                 return;
             }
--- a/src/main/java/io/beryldock/configuration/DocumentTransfer.java
+++ b/src/main/java/io/beryldock/configuration/DocumentTransfer.java
@@ -29,7 +29,7 @@
     private static final long STALL_TIMEOUT_NANOS = Duration.ofSeconds(1).toNanos();
     private static final long SERVED_RETENTION_NANOS = Duration.ofSeconds(10).toNanos();
 
-    private final ConfigurationKeeper activeConfiguration;
+    private final ActiveConfiguration activeConfiguration;
     private final Messenger messenger;
     private final Ticker ticker;
 
@@ -40,13 +40,13 @@
     private ImmutableList<ConfigurationPart> served = ImmutableList.of();
     private long servedAt;
 
-    private DocumentTransfer(ConfigurationKeeper activeConfiguration, Messenger messenger, Ticker ticker) {
+    private DocumentTransfer(ActiveConfiguration activeConfiguration, Messenger messenger, Ticker ticker) {
         this.activeConfiguration = activeConfiguration;
         this.messenger = messenger;
         this.ticker = ticker;
     }
 
-    static DocumentTransfer create(ConfigurationKeeper activeConfiguration, Messenger messenger, Ticker ticker) {
+    static DocumentTransfer create(ActiveConfiguration activeConfiguration, Messenger messenger, Ticker ticker) {
         return new DocumentTransfer(activeConfiguration, messenger, ticker);
     }
 
--- a/src/main/java/io/beryldock/configuration/InForceSurvey.java
+++ b/src/main/java/io/beryldock/configuration/InForceSurvey.java
@@ -44,7 +44,7 @@
     private static final Duration BETWEEN_ROUNDS = Duration.ofMillis(500);
 
     private final NodeDescriptor self;
-    private final ConfigurationKeeper activeConfiguration;
+    private final ActiveConfiguration activeConfiguration;
     private final Messenger messenger;
     private final Supplier<PeerSelection> selection;
     private final TimerService timers;
@@ -53,7 +53,7 @@
 
     private InForceSurvey(
             NodeDescriptor self,
-            ConfigurationKeeper activeConfiguration,
+            ActiveConfiguration activeConfiguration,
             Messenger messenger,
             Supplier<PeerSelection> selection,
             TimerService timers,
@@ -68,7 +68,7 @@
 
     static InForceSurvey create(
             NodeDescriptor self,
-            ConfigurationKeeper activeConfiguration,
+            ActiveConfiguration activeConfiguration,
             Messenger messenger,
             Supplier<PeerSelection> selection,
             TimerService timers,
--- a/src/main/java/io/beryldock/configuration/StartWait.java
+++ b/src/main/java/io/beryldock/configuration/StartWait.java
@@ -35,7 +35,7 @@
 
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(500);
 
-    private final ConfigurationKeeper activeConfiguration;
+    private final ActiveConfiguration activeConfiguration;
     private final StoreWatch watch;
     private final TimerService timers;
     private final RandomGenerator random;
@@ -47,14 +47,14 @@
     private long highest;
     private TimerService.Subscription changeSubscription = () -> {};
 
-    private StartWait(ConfigurationKeeper activeConfiguration, StoreWatch watch, ConfigurationSync.Ports ports) {
+    private StartWait(ActiveConfiguration activeConfiguration, StoreWatch watch, ConfigurationSync.Ports ports) {
         this.activeConfiguration = activeConfiguration;
         this.watch = watch;
         this.timers = ports.timers();
         this.random = ports.random();
     }
 
-    static StartWait create(ConfigurationKeeper activeConfiguration, StoreWatch watch, ConfigurationSync.Ports ports) {
+    static StartWait create(ActiveConfiguration activeConfiguration, StoreWatch watch, ConfigurationSync.Ports ports) {
         return new StartWait(activeConfiguration, watch, ports);
     }
 
--- a/src/main/java/io/beryldock/configuration/StoreWatch.java
+++ b/src/main/java/io/beryldock/configuration/StoreWatch.java
@@ -34,7 +34,7 @@
 
     private final PlatformStore store;
     private final ConfigurationStore reader;
-    private final ConfigurationKeeper activeConfiguration;
+    private final ActiveConfiguration activeConfiguration;
     private final TimerService timers;
     private final Executor control;
     private final RandomGenerator random;
@@ -47,7 +47,7 @@
     private int watches;
     private boolean lossLogged;
 
-    private StoreWatch(PlatformStore store, ConfigurationKeeper activeConfiguration, ConfigurationSync.Ports ports) {
+    private StoreWatch(PlatformStore store, ActiveConfiguration activeConfiguration, ConfigurationSync.Ports ports) {
         this.store = store;
         this.reader = ConfigurationStore.of(store);
         this.activeConfiguration = activeConfiguration;
@@ -57,7 +57,7 @@
         this.events = ports.events();
     }
 
-    static StoreWatch create(ConfigurationKeeper activeConfiguration, ConfigurationSync.Ports ports) {
+    static StoreWatch create(ActiveConfiguration activeConfiguration, ConfigurationSync.Ports ports) {
         return new StoreWatch(TimedStore.of(ports.store(), ports.timers()), activeConfiguration, ports);
     }
 
--- a/src/main/java/io/beryldock/configuration/WriterContext.java
+++ b/src/main/java/io/beryldock/configuration/WriterContext.java
@@ -16,7 +16,7 @@
         PlatformStore store,
         ConfigurationStore reader,
         StoreCompactor compactor,
-        ConfigurationKeeper activeConfiguration,
+        ActiveConfiguration activeConfiguration,
         Executor control,
         TimerService timers,
         InstantSource clock,
@@ -27,7 +27,7 @@
     private static final int LINEAGE_BYTES = 8;
 
     static WriterContext of(
-            PlatformStore store, ConfigurationKeeper activeConfiguration, ConfigurationWriter.Ports ports) {
+            PlatformStore store, ActiveConfiguration activeConfiguration, ConfigurationWriter.Ports ports) {
         return new WriterContext(
                 store,
                 ConfigurationStore.of(store),
--- a/src/main/java/io/beryldock/credit/CreditNode.java
+++ b/src/main/java/io/beryldock/credit/CreditNode.java
@@ -19,7 +19,7 @@
     private static final int LOG_SECONDS = 10;
 
     private final CreditIssuer issuer;
-    private final CreditKeeper entryCredits;
+    private final EntryCredits entryCredits;
     private final GateReporter reporter;
 
     private CreditNode(Ports ports) {
@@ -28,7 +28,7 @@
                 new CreditMessenger(ports.peers(), ports.timers().ticker());
         this.issuer = new CreditIssuer(enabled, ports.peers(), messenger, ports.division(), ports.timers());
         this.entryCredits =
-                new CreditKeeper(enabled, messenger, issuer, ports.timers().ticker());
+                new EntryCredits(enabled, messenger, issuer, ports.timers().ticker());
         this.reporter = new GateReporter(enabled, ports.timers(), ports.gate(), GateReporter.sender(messenger, issuer));
     }
 
@@ -49,7 +49,7 @@
         return new CreditNode(ports);
     }
 
-    public CreditKeeper keeper() {
+    public EntryCredits entryCredits() {
         return entryCredits;
     }
 
--- a/src/main/java/io/beryldock/credit/CreditKeeper.java
+++ b/src/main/java/io/beryldock/credit/EntryCredits.java
@@ -29,7 +29,7 @@
  * all its services in shortage or of none. Thread safe; while no service is in shortage, the check whether a tree
  * requires credits takes no lock.
  */
-public final class CreditKeeper implements TreeCredits {
+public final class EntryCredits implements TreeCredits {
 
     /** Timeout for a home node, beyond the length of its round. Trees must not wait longer for a lost home node. */
     private static final Duration HOME_TIMEOUT = Duration.ofMillis(150);
@@ -45,7 +45,7 @@
     private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
     private volatile boolean anyShort;
 
-    CreditKeeper(boolean enabled, CreditMessenger messenger, CreditIssuer issuer, Ticker ticker) {
+    EntryCredits(boolean enabled, CreditMessenger messenger, CreditIssuer issuer, Ticker ticker) {
         this.enabled = enabled;
         this.messenger = messenger;
         this.ticker = ticker;
@@ -100,7 +100,7 @@
     }
 
     @Override
-    public boolean governs(TreeKey tree) {
+    public boolean requiresCredits(TreeKey tree) {
         if (!anyShort) {
             return false;
         }
@@ -125,7 +125,7 @@
     private record Need(CreditAccount account, double nanos) {}
 
     @Override
-    public void demand(TreeKey tree, Claimant claimant) {
+    public void recordDemand(TreeKey tree, Claimant claimant) {
         if (!anyShort) {
             return;
         }
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void ended(TreeKey tree, TreeCost used, boolean succeeded) {
+    public void recordTreeCost(TreeKey tree, TreeCost used, boolean succeeded) {
         if (!enabled || !succeeded) {
             return;
         }
--- a/src/main/java/io/beryldock/credit/TreeCredits.java
+++ b/src/main/java/io/beryldock/credit/TreeCredits.java
@@ -20,12 +20,12 @@
      * Whether trees of this kind require credits now: a service that they are known to call is in shortage, and its
      * home node is reachable. While false, the admission levels that answers report decide, as they do without credits.
      */
-    boolean governs(TreeKey tree);
+    boolean requiresCredits(TreeKey tree);
 
     /**
      * Records that a tree was requested. The entry node claims credits from the home nodes according to this demand.
      */
-    void demand(TreeKey tree, Claimant claimant);
+    void recordDemand(TreeKey tree, Claimant claimant);
 
     /**
      * Takes the credits of one whole tree, for all its services in shortage or for none; returns false when they do not
@@ -41,7 +41,7 @@
      *
      * @param succeeded whether the tree succeeded; the cost of other trees is ignored, as they may have ended early
      */
-    void ended(TreeKey tree, TreeCost used, boolean succeeded);
+    void recordTreeCost(TreeKey tree, TreeCost used, boolean succeeded);
 
     /**
      * Expected wait of a tree for its credits.
--- a/src/main/java/io/beryldock/forwarding/AttemptLoop.java
+++ b/src/main/java/io/beryldock/forwarding/AttemptLoop.java
@@ -11,13 +11,13 @@
 import io.beryldock.membership.TargetRecord;
 import io.beryldock.quarantine.Fingerprint;
 import io.beryldock.quarantine.Verdict;
+import io.beryldock.retry.EndedAttempt;
 import io.beryldock.retry.GrantPolicy;
 import io.beryldock.retry.RetryAccount;
 import io.beryldock.retry.RetryBudget;
 import io.beryldock.retry.RetryDecision;
 import io.beryldock.retry.RetryGrant;
 import io.beryldock.retry.RetryPolicy;
-import io.beryldock.retry.RetryQuestion;
 import io.beryldock.routing.CallKind;
 import io.beryldock.settings.NodeSettings.Policy;
 import java.time.Duration;
@@ -206,7 +206,7 @@
             // Most calls end here; building the question would look at all targets of the service needlessly.
             return RetryDecision.STOP_ANSWERED;
         }
-        RetryQuestion question = new RetryQuestion(
+        EndedAttempt question = new EndedAttempt(
                 ended,
                 call.idempotent(),
                 tries,
@@ -216,7 +216,7 @@
                 slowestNanos,
                 call.context().priority().rank(),
                 ports.quarantine().verdict(fingerprint) != Verdict.FREE);
-        RetryDecision decision = ports.retries().ask(question, account, budget());
+        RetryDecision decision = ports.retries().decide(question, account, budget());
         count(decision);
         return decision;
     }
--- a/src/main/java/io/beryldock/forwarding/CallForwarder.java
+++ b/src/main/java/io/beryldock/forwarding/CallForwarder.java
@@ -1,6 +1,6 @@
 package io.beryldock.forwarding;
 
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.call.Call;
 import io.beryldock.call.CallResult;
 import io.beryldock.call.NodeId;
@@ -44,7 +44,7 @@
             TargetChooser chooser,
             TargetExecutor executor,
             PeerCallClient peers,
-            DoorShedder shedder,
+            EntryShedder shedder,
             RetryGate retries,
             RetryBudgets budgets,
             RetryTally retryTally,
--- a/src/main/java/io/beryldock/forwarding/CallerAccess.java
+++ b/src/main/java/io/beryldock/forwarding/CallerAccess.java
@@ -73,7 +73,8 @@
         if (table.isEmpty()) {
             return Access.granted(Optional.empty());
         }
-        Optional<Organisation> holder = credentials.size() == 1 ? table.holderOf(credentials.get(0)) : Optional.empty();
+        Optional<Organisation> holder =
+                credentials.size() == 1 ? table.findByKey(credentials.get(0)) : Optional.empty();
         if (open) {
             return Access.granted(isCertain() ? holder : Optional.empty());
         }
--- a/src/main/java/io/beryldock/forwarding/EntryService.java
+++ b/src/main/java/io/beryldock/forwarding/EntryService.java
@@ -17,7 +17,7 @@
 import io.beryldock.idempotency.CallerIdentity;
 import io.beryldock.organisation.Organisation;
 import io.beryldock.organisation.OrganisationTable;
-import io.beryldock.quota.QuotaKeeper;
+import io.beryldock.quota.QuotaLimiter;
 import io.beryldock.retry.GrantPolicy;
 import io.beryldock.retry.RetryAccount;
 import io.beryldock.retry.RetryGrant;
@@ -67,7 +67,7 @@
             Policy policy,
             Supplier<Configuration> configuration,
             CallerAccess access,
-            QuotaKeeper quotas,
+            QuotaLimiter quotas,
             RootAdmission admission,
             RetryLedger ledger,
             ExecutionRegistry executions,
--- a/src/main/java/io/beryldock/forwarding/EntrySheddingCheck.java
+++ b/src/main/java/io/beryldock/forwarding/EntrySheddingCheck.java
@@ -1,7 +1,7 @@
 package io.beryldock.forwarding;
 
-import io.beryldock.admission.DoorDecision;
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
+import io.beryldock.admission.ShedDecision;
 import io.beryldock.call.Call;
 import io.beryldock.call.CallContext;
 import io.beryldock.call.CallResult;
@@ -12,12 +12,12 @@
 /** The decision of load shedding at the entry on a root request: a refusal, or empty when admitted. Immutable. */
 record EntrySheddingCheck(Optional<CallResult> refusal) {
 
-    static EntrySheddingCheck of(Policy policy, DoorShedder shedder, Call call) {
+    static EntrySheddingCheck of(Policy policy, EntryShedder shedder, Call call) {
         if (policy == Policy.NONE) {
             return new EntrySheddingCheck(Optional.empty());
         }
         CallContext context = call.context();
-        DoorDecision decision =
+        ShedDecision decision =
                 shedder.decide(call.service(), context.priority().rank(), context.callerHash());
         if (decision.admitted()) {
             return new EntrySheddingCheck(Optional.empty());
--- a/src/main/java/io/beryldock/forwarding/HomeDispatcher.java
+++ b/src/main/java/io/beryldock/forwarding/HomeDispatcher.java
@@ -1,6 +1,6 @@
 package io.beryldock.forwarding;
 
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.call.Call;
 import io.beryldock.call.CallResult;
 import io.beryldock.idempotency.CallDispatcher;
@@ -18,11 +18,11 @@
 public final class HomeDispatcher implements CallDispatcher {
 
     private final Policy policy;
-    private final DoorShedder shedder;
+    private final EntryShedder shedder;
     private final RetryLedger ledger;
     private final CallForwarder forwarder;
 
-    private HomeDispatcher(Policy policy, DoorShedder shedder, RetryLedger ledger, CallForwarder forwarder) {
+    private HomeDispatcher(Policy policy, EntryShedder shedder, RetryLedger ledger, CallForwarder forwarder) {
         this.policy = policy;
         this.shedder = shedder;
         this.ledger = ledger;
@@ -30,7 +30,7 @@
     }
 
     public static HomeDispatcher create(
-            Policy policy, DoorShedder shedder, RetryLedger ledger, CallForwarder forwarder) {
+            Policy policy, EntryShedder shedder, RetryLedger ledger, CallForwarder forwarder) {
         return new HomeDispatcher(policy, shedder, ledger, forwarder);
     }
 
--- a/src/main/java/io/beryldock/forwarding/RootAdmission.java
+++ b/src/main/java/io/beryldock/forwarding/RootAdmission.java
@@ -1,6 +1,6 @@
 package io.beryldock.forwarding;
 
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.call.Call;
 import io.beryldock.call.CallResult;
 import io.beryldock.call.Outcome;
@@ -40,7 +40,7 @@
 
     /** Dependencies of the admission. */
     public record Ports(
-            Policy policy, DoorShedder shedder, TreeCredits credits, EntryAdmission waiting, Ticker ticker) {}
+            Policy policy, EntryShedder shedder, TreeCredits credits, EntryAdmission waiting, Ticker ticker) {}
 
     public static RootAdmission create(Ports ports) {
         return new RootAdmission(ports);
@@ -110,7 +110,7 @@
 
     /** Returns the refusal of a request that can be decided on without a wait; empty when the request may go on. */
     Optional<CallResult> refusal(Root root) {
-        return ports.credits().governs(root.tree())
+        return ports.credits().requiresCredits(root.tree())
                 ? Optional.empty()
                 : EntrySheddingCheck.of(ports.policy(), ports.shedder(), root.call())
                         .refusal();
@@ -120,13 +120,13 @@
     CompletableFuture<CallResult> start(
             Root root, CancelScope scope, Function<Call, CompletableFuture<CallResult>> dispatch) {
         Root begun = root.at(now());
-        if (!ports.credits().governs(root.tree())) {
+        if (!ports.credits().requiresCredits(root.tree())) {
             // Reports the demand to the home nodes of services that lack capacity, so that credits can govern later.
-            ports.credits().demand(root.tree(), root.claimant());
+            ports.credits().recordDemand(root.tree(), root.claimant());
             return run(begun, begun.call(), dispatch);
         }
         EntryAdmission.Pending pending = ports.waiting().admit(begun.waiting());
-        scope.onCancel(pending::leave);
+        scope.onCancel(pending::cancel);
         return pending.decision().thenCompose(decision -> onDecision(begun.at(now()), decision, dispatch));
     }
 
@@ -171,7 +171,7 @@
         return dispatch.apply(call).thenApply(result -> {
             ports.credits().observe(result.levels());
             if (result.outcome() != Outcome.NOT_RUN) {
-                ports.credits().ended(root.tree(), result.cost(), result.succeeded());
+                ports.credits().recordTreeCost(root.tree(), result.cost(), result.succeeded());
             }
             return result;
         });
--- a/src/main/java/io/beryldock/forwarding/TargetCrashDetector.java
+++ b/src/main/java/io/beryldock/forwarding/TargetCrashDetector.java
@@ -23,8 +23,8 @@
  * Distinguishes a crash of the target from the loss of a single connection.
  *
  * <p>Guards against a request that crashes each target that runs it: requests in flight at a crash must be recorded.
- * Lost exchanges are judged by the {@link TargetLife} with which they began, so that a target that has restarted in the
- * meantime is not mistaken for one that never ended. Invariant: each loss is decided once, within a bounded time
+ * Lost exchanges are judged by the {@link TargetProcess} with which they began, so that a target that has restarted in
+ * the meantime is not mistaken for one that never ended. Invariant: each loss is decided once, within a bounded time
  * whatever the target does. Thread safe.
  */
 public final class TargetCrashDetector {
@@ -41,19 +41,23 @@
     /** Longest wait until the other nodes have been notified of a crash. */
     private static final Duration NOTIFICATION_TIMEOUT = Duration.ofMillis(500);
 
-    private final TargetLives processes;
+    private final TargetProcesses processes;
     private final Quarantine quarantine;
-    private final CrashNews notifier;
+    private final CrashNotifier notifier;
     private final TimerService timers;
     private final EventSink events;
 
     @GuardedBy("this")
-    private final Map<TargetLife, LostExchanges> undecided = new HashMap<>();
+    private final Map<TargetProcess, LostExchanges> undecided = new HashMap<>();
 
     private volatile boolean idle = true;
 
     private TargetCrashDetector(
-            TargetLives processes, Quarantine quarantine, CrashNews notifier, TimerService timers, EventSink events) {
+            TargetProcesses processes,
+            Quarantine quarantine,
+            CrashNotifier notifier,
+            TimerService timers,
+            EventSink events) {
         this.processes = processes;
         this.quarantine = quarantine;
         this.notifier = notifier;
@@ -62,12 +66,16 @@
     }
 
     public static TargetCrashDetector create(
-            TargetLives processes, Quarantine quarantine, CrashNews notifier, TimerService timers, EventSink events) {
+            TargetProcesses processes,
+            Quarantine quarantine,
+            CrashNotifier notifier,
+            TimerService timers,
+            EventSink events) {
         return new TargetCrashDetector(processes, quarantine, notifier, timers, events);
     }
 
     /** Returns the process by which an exchange that begins now is judged if it is lost. */
-    TargetLife processOf(InetSocketAddress target) {
+    TargetProcess processOf(InetSocketAddress target) {
         return processes.current(target);
     }
 
@@ -76,10 +84,10 @@
      *
      * @param process as {@link #processOf} returned it before the exchange began
      * @param run the request, and whether this run of it began as a suspect's
-     * @return completes when it is decided whether the target crashed, {@link LifeSign#ENDED}, and the nodes of the
-     *     service have been notified, so that a caller who resends the request at once meets the verdict
+     * @return completes when it is decided whether the target crashed, {@link TargetProcessState#ENDED}, and the nodes
+     *     of the service have been notified, so that a caller who resends the request at once meets the verdict
      */
-    CompletableFuture<LifeSign> onLost(AnnouncedTarget target, TargetLife process, LostRun run) {
+    CompletableFuture<TargetProcessState> onLost(AnnouncedTarget target, TargetProcess process, LostRun run) {
         LostExchanges losses;
         boolean first;
         synchronized (this) {
@@ -90,7 +98,8 @@
         }
         if (first) {
             long lostAt = timers.ticker().nanos();
-            timers.after(COLLECTION_TIME.plus(CHECK_TIMEOUT), () -> decide(process, losses, LifeSign.UNKNOWN));
+            timers.after(
+                    COLLECTION_TIME.plus(CHECK_TIMEOUT), () -> decide(process, losses, TargetProcessState.UNKNOWN));
             timers.after(COLLECTION_TIME, () -> checkProcess(process, losses, lostAt));
         }
         return losses.decided;
@@ -102,7 +111,7 @@
      * <p>A run that began before the decision would not be marked as a suspect's, so a crash in that run would not
      * convict the request.
      */
-    Optional<CompletableFuture<LifeSign>> undecided(Fingerprint fingerprint) {
+    Optional<CompletableFuture<TargetProcessState>> undecided(Fingerprint fingerprint) {
         if (idle) {
             return Optional.empty();
         }
@@ -114,17 +123,17 @@
         }
     }
 
-    private void checkProcess(TargetLife process, LostExchanges losses, long lostAtNanos) {
-        process.look(lostAtNanos).whenComplete((state, failure) -> {
+    private void checkProcess(TargetProcess process, LostExchanges losses, long lostAtNanos) {
+        process.checkState(lostAtNanos).whenComplete((state, failure) -> {
             if (failure != null) {
                 log.atSevere().withCause(failure).log("check of the target process after lost exchanges failed");
             }
-            decide(process, losses, failure == null ? state : LifeSign.UNKNOWN);
+            decide(process, losses, failure == null ? state : TargetProcessState.UNKNOWN);
         });
     }
 
     /** Makes the verdict before the loss counts as decided, so that no run of the request begins between the two. */
-    private void decide(TargetLife process, LostExchanges losses, LifeSign state) {
+    private void decide(TargetProcess process, LostExchanges losses, TargetProcessState state) {
         Optional<QuarantineDelta> suspects;
         synchronized (this) {
             if (undecided.get(process) != losses) {
@@ -137,13 +146,13 @@
         log.atInfo().atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
                 "lost %d exchanges with the target of service %s; state of its process: %s",
                 losses.runs.size(), losses.target.service(), state);
-        if (state == LifeSign.ENDED) {
+        if (state == TargetProcessState.ENDED) {
             recordCrash(losses);
         }
         suspects.ifPresentOrElse(delta -> notifyNodes(losses, state, delta), () -> losses.decided.complete(state));
     }
 
-    private Optional<QuarantineDelta> updateQuarantine(List<LostRun> runs, LifeSign state) {
+    private Optional<QuarantineDelta> updateQuarantine(List<LostRun> runs, TargetProcessState state) {
         return switch (state) {
             case GOES_ON -> {
                 runs.forEach(quarantine::onAbandoned);
@@ -154,9 +163,9 @@
         };
     }
 
-    private void notifyNodes(LostExchanges losses, LifeSign state, QuarantineDelta suspects) {
+    private void notifyNodes(LostExchanges losses, TargetProcessState state, QuarantineDelta suspects) {
         timers.after(NOTIFICATION_TIMEOUT, () -> losses.decided.complete(state));
-        notifier.tell(losses.target.service(), suspects)
+        notifier.notifyNodes(losses.target.service(), suspects)
                 .whenComplete((notified, failure) -> losses.decided.complete(state));
     }
 
@@ -177,7 +186,7 @@
 
         private final AnnouncedTarget target;
         private final List<LostRun> runs = new ArrayList<>();
-        private final CompletableFuture<LifeSign> decided = new CompletableFuture<>();
+        private final CompletableFuture<TargetProcessState> decided = new CompletableFuture<>();
 
         LostExchanges(AnnouncedTarget target) {
             this.target = target;
--- a/src/main/java/io/beryldock/forwarding/TargetLife.java
+++ b/src/main/java/io/beryldock/forwarding/TargetProcess.java
@@ -8,7 +8,7 @@
  * <p>Thread safe. Equal objects stand for the same process.
  */
 @FunctionalInterface
-public interface TargetLife {
+public interface TargetProcess {
 
     /**
      * Checks whether the process still runs, after an exchange with it was lost.
@@ -16,5 +16,5 @@
      * @param lostAtNanos when the first exchange was lost, by the node's ticker
      * @return the state; the caller must bound the wait, because a target may neither accept nor refuse a connection
      */
-    CompletableFuture<LifeSign> look(long lostAtNanos);
+    CompletableFuture<TargetProcessState> checkState(long lostAtNanos);
 }
--- a/src/main/java/io/beryldock/forwarding/LifeSign.java
+++ b/src/main/java/io/beryldock/forwarding/TargetProcessState.java
@@ -1,7 +1,7 @@
 package io.beryldock.forwarding;
 
 /** The state of a target process, as far as this node knows it. */
-public enum LifeSign {
+public enum TargetProcessState {
     /** The process that ran at the start of the exchange still runs. */
     GOES_ON,
     /** That process has ended, whatever listens at its address now. */
--- a/src/main/java/io/beryldock/forwarding/TargetRun.java
+++ b/src/main/java/io/beryldock/forwarding/TargetRun.java
@@ -123,7 +123,8 @@
      */
     @Override
     public void admitted(Permit permit) {
-        Optional<CompletableFuture<LifeSign>> undecided = ports.crashes().undecided(fingerprint);
+        Optional<CompletableFuture<TargetProcessState>> undecided =
+                ports.crashes().undecided(fingerprint);
         if (undecided.isPresent()) {
             undecided.get().thenAccept(state -> admitted(permit));
         } else {
@@ -149,7 +150,7 @@
         CallContext context = call.context();
         Call sent =
                 call.attempt(call.id(), context.afterNanos(context.remainingNanos() - started.remainingNanos(now())));
-        TargetLife process = ports.crashes().processOf(target.address());
+        TargetProcess process = ports.crashes().processOf(target.address());
         TargetExchange sending = ports.client().send(sent);
         synchronized (this) {
             exchange = sending;
@@ -170,12 +171,12 @@
         return started;
     }
 
-    private void onReply(Execution started, Permit permit, TargetLife process, Verdict verdict, TargetReply reply) {
+    private void onReply(Execution started, Permit permit, TargetProcess process, Verdict verdict, TargetReply reply) {
         permit.release(completion(reply));
         CallResult ended = close(started, toResult(reply));
         if (isGivenUp() && TargetExecutor.isKeyed(call)) {
             // The caller got UNKNOWN; its next try under the same key finds the answer.
-            ports.guard().lateAnswer(call, ended);
+            ports.guard().recordLateAnswer(call, ended);
         }
         switch (reply.kind()) {
             case ANSWERED -> {
@@ -227,8 +228,8 @@
         return reply.answer().filter(answer -> !answer.isServerError()).isPresent();
     }
 
-    private static CallResult withCrashReason(CallResult lost, LifeSign state) {
-        return state == LifeSign.ENDED ? lost.withReason(Reason.TARGET_CRASHED) : lost;
+    private static CallResult withCrashReason(CallResult lost, TargetProcessState state) {
+        return state == TargetProcessState.ENDED ? lost.withReason(Reason.TARGET_CRASHED) : lost;
     }
 
     private static CallResult toResult(TargetReply reply) {
--- a/src/main/java/io/beryldock/http/HttpPorts.java
+++ b/src/main/java/io/beryldock/http/HttpHandlers.java
@@ -19,7 +19,7 @@
  * @param health health check of the node
  * @param adminServlets servlets of the admin listener by path
  */
-public record HttpPorts(
+public record HttpHandlers(
         RequestHandler requests,
         Consumer<Announcement> announcements,
         Supplier<CompletableFuture<Optional<String>>> tickets,
--- a/src/main/java/io/beryldock/http/IdleTargetConnection.java
+++ b/src/main/java/io/beryldock/http/IdleTargetConnection.java
@@ -2,9 +2,9 @@
 
 import com.google.common.flogger.FluentLogger;
 import com.google.errorprone.annotations.concurrent.GuardedBy;
-import io.beryldock.forwarding.LifeSign;
-import io.beryldock.forwarding.TargetLife;
 import io.beryldock.forwarding.TargetProbe;
+import io.beryldock.forwarding.TargetProcess;
+import io.beryldock.forwarding.TargetProcessState;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -18,7 +18,7 @@
  * system closes all connections of a process that ends. Therefore, once a new connection to the address was accepted or
  * refused, the state of the idle connection shows whether the process that accepted it has ended. Thread safe.
  */
-final class IdleTargetConnection implements TargetLife, AutoCloseable {
+final class IdleTargetConnection implements TargetProcess, AutoCloseable {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int SCRATCH_BYTES = 512;
@@ -86,8 +86,9 @@
     }
 
     @Override
-    public CompletableFuture<LifeSign> look(long lostAtNanos) {
-        return probe.listens(target).thenApply(up -> up && isOpen() ? LifeSign.GOES_ON : LifeSign.ENDED);
+    public CompletableFuture<TargetProcessState> checkState(long lostAtNanos) {
+        return probe.listens(target)
+                .thenApply(up -> up && isOpen() ? TargetProcessState.GOES_ON : TargetProcessState.ENDED);
     }
 
     @Override
--- a/src/main/java/io/beryldock/http/NodeHttpServer.java
+++ b/src/main/java/io/beryldock/http/NodeHttpServer.java
@@ -41,7 +41,7 @@
     }
 
     /** Binds and starts the listeners; fails if an address is in use. */
-    public static NodeHttpServer start(NodeSettings settings, HttpPorts handlers) throws ServerStartException {
+    public static NodeHttpServer start(NodeSettings settings, HttpHandlers handlers) throws ServerStartException {
         Environment environment = environment(settings);
         PortHolder callersPort = new PortHolder();
         Responder responder = new Responder();
@@ -75,7 +75,7 @@
     private static void registerResources(
             Environment environment,
             NodeSettings settings,
-            HttpPorts handlers,
+            HttpHandlers handlers,
             PortHolder callersPort,
             Executor responder) {
         RequestReader reader = new RequestReader(
--- a/src/main/java/io/beryldock/http/ConnectedTargetLives.java
+++ b/src/main/java/io/beryldock/http/TargetConnectionMonitor.java
@@ -2,10 +2,10 @@
 
 import com.google.common.flogger.FluentLogger;
 import com.google.errorprone.annotations.concurrent.GuardedBy;
-import io.beryldock.forwarding.LifeSign;
-import io.beryldock.forwarding.TargetLife;
-import io.beryldock.forwarding.TargetLives;
 import io.beryldock.forwarding.TargetProbe;
+import io.beryldock.forwarding.TargetProcess;
+import io.beryldock.forwarding.TargetProcessState;
+import io.beryldock.forwarding.TargetProcesses;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Optional;
@@ -17,7 +17,7 @@
  * <p>Guards against undetected crashes: a supervisor can restart the target before a probe connects, and the probe then
  * finds a listening target. Thread safe. Invariant: at most one connection is open, and none after {@link #close()}.
  */
-public final class ConnectedTargetLives implements TargetLives, AutoCloseable {
+public final class TargetConnectionMonitor implements TargetProcesses, AutoCloseable {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int LOG_INTERVAL_SECONDS = 10;
@@ -30,16 +30,16 @@
     @GuardedBy("this")
     private boolean closed;
 
-    private ConnectedTargetLives(TargetProbe probe) {
+    private TargetConnectionMonitor(TargetProbe probe) {
         this.probe = probe;
     }
 
-    public static ConnectedTargetLives create(TargetProbe probe) {
-        return new ConnectedTargetLives(probe);
+    public static TargetConnectionMonitor create(TargetProbe probe) {
+        return new TargetConnectionMonitor(probe);
     }
 
     @Override
-    public synchronized TargetLife current(InetSocketAddress target) {
+    public synchronized TargetProcess current(InetSocketAddress target) {
         boolean usable = connection
                 .filter(existing -> existing.isConnectionTo(target) && isUsable(existing))
                 .isPresent();
@@ -49,7 +49,7 @@
         }
         return connection
                 .filter(IdleTargetConnection::isEstablished)
-                .<TargetLife>map(established -> established)
+                .<TargetProcess>map(established -> established)
                 .orElseGet(() -> unmonitored(target));
     }
 
@@ -70,8 +70,9 @@
     }
 
     /** Returns a process without an idle connection to it: only a refused probe shows that the process has ended. */
-    private TargetLife unmonitored(InetSocketAddress target) {
-        return lostAtNanos -> probe.listens(target).thenApply(up -> up ? LifeSign.UNKNOWN : LifeSign.ENDED);
+    private TargetProcess unmonitored(InetSocketAddress target) {
+        return lostAtNanos ->
+                probe.listens(target).thenApply(up -> up ? TargetProcessState.UNKNOWN : TargetProcessState.ENDED);
     }
 
     @Override
--- a/src/main/java/io/beryldock/idempotency/RunGuard.java
+++ b/src/main/java/io/beryldock/idempotency/RunGuard.java
@@ -39,7 +39,7 @@
     }
 
     /** Records a target's answer that arrived after the call's deadline, so that the caller's retry finds it. */
-    public void lateAnswer(Call call, CallResult answer) {
+    public void recordLateAnswer(Call call, CallResult answer) {
         runTable.recordLateAnswer(call.key().orElseThrow(), answer);
     }
 
--- a/src/main/java/io/beryldock/membership/RegistryRecord.java
+++ b/src/main/java/io/beryldock/membership/RegistryRecord.java
@@ -66,7 +66,7 @@
         this.recovery = ports.recovery();
         this.timers = ports.timers();
         this.random = ports.random();
-        store.eras().onRise(timers, this::onEraRisen);
+        store.eras().onNewEra(timers, this::onEraRisen);
     }
 
     String key() {
@@ -267,7 +267,7 @@
     }
 
     private <T> void callStore(CompletableFuture<T> call, BiConsumer<T, Throwable> then) {
-        TimerThread.hear(timers, call, (value, failure) -> {
+        TimerThread.onCompletion(timers, call, (value, failure) -> {
             then.accept(value, failure);
             recovery.onCall(failure == null);
         });
--- a/src/main/java/io/beryldock/membership/SeedRecords.java
+++ b/src/main/java/io/beryldock/membership/SeedRecords.java
@@ -46,7 +46,7 @@
     /** Reads the record; the result is empty if the store cannot be reached. */
     void read(Consumer<Optional<Versioned>> then) {
         reads++;
-        TimerThread.hear(timers, store.get(KEY), (value, failure) -> {
+        TimerThread.onCompletion(timers, store.get(KEY), (value, failure) -> {
             noteStore(failure);
             then.accept(failure == null ? Optional.of(parse(value)) : Optional.empty());
         });
@@ -55,11 +55,13 @@
     /** Writes the record if its version is unchanged; the result is true if the write is known to have been applied. */
     void write(Versioned read, SeedRecord next, Consumer<Boolean> then) {
         writes++;
-        TimerThread.hear(timers, store.compareAndSet(KEY, read.version(), next.toByteString()), (result, failure) -> {
-            // A write whose answer was lost is not retried: the next check reads the record and determines whether the
-            // write was applied.
-            then.accept(failure == null && result.kind() == WriteResult.Kind.APPLIED);
-        });
+        TimerThread.onCompletion(
+                timers, store.compareAndSet(KEY, read.version(), next.toByteString()), (result, failure) -> {
+                    // A write whose answer was lost is not retried: the next check reads the record and determines
+                    // whether the
+                    // write was applied.
+                    then.accept(failure == null && result.kind() == WriteResult.Kind.APPLIED);
+                });
     }
 
     long reads() {
--- a/src/main/java/io/beryldock/node/AdmissionModule.java
+++ b/src/main/java/io/beryldock/node/AdmissionModule.java
@@ -3,7 +3,7 @@
 import com.google.inject.AbstractModule;
 import com.google.inject.Provides;
 import com.google.inject.Singleton;
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.credit.TreeCredits;
 import io.beryldock.eventloop.LoopTimerService;
 import io.beryldock.forwarding.RootAdmission;
@@ -37,7 +37,7 @@
 
     @Provides
     @Singleton
-    RootAdmission rootAdmission(NodeSettings settings, DoorShedder door, TreeCredits credits, EntryAdmission waiting) {
+    RootAdmission rootAdmission(NodeSettings settings, EntryShedder door, TreeCredits credits, EntryAdmission waiting) {
         return RootAdmission.create(
                 new RootAdmission.Ports(settings.policy(), door, credits, waiting, timers.ticker()));
     }
--- a/src/main/java/io/beryldock/node/CreditModule.java
+++ b/src/main/java/io/beryldock/node/CreditModule.java
@@ -5,9 +5,9 @@
 import com.google.inject.Provides;
 import com.google.inject.Singleton;
 import io.beryldock.call.NodeId;
-import io.beryldock.credit.CreditKeeper;
 import io.beryldock.credit.CreditNode;
 import io.beryldock.credit.CreditSettings;
+import io.beryldock.credit.EntryCredits;
 import io.beryldock.credit.GateLoad;
 import io.beryldock.credit.GateReporter;
 import io.beryldock.credit.Party;
@@ -55,20 +55,20 @@
                         .current()
                         .map(target ->
                                 new GateLoad(target.service(), target.gate().load()))));
-        transport.handle(
+        transport.registerHandler(
                 PeerTopic.CREDIT,
                 message -> credits.onMessage(NodeId.of(message.sender()), message.body(), message::reply));
         return credits;
     }
 
     @Provides
-    CreditKeeper keeper(CreditNode credits) {
-        return credits.keeper();
+    EntryCredits keeper(CreditNode credits) {
+        return credits.entryCredits();
     }
 
     @Provides
     TreeCredits treeCredits(CreditNode credits) {
-        return credits.keeper();
+        return credits.entryCredits();
     }
 
     @Provides
--- a/src/main/java/io/beryldock/node/DirectoryPeers.java
+++ b/src/main/java/io/beryldock/node/DirectoryPeers.java
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public Optional<NodeId> elsewhere() {
+    public Optional<NodeId> randomRemoteNode() {
         List<NodeId> others = split.get().others();
         return others.isEmpty() ? Optional.empty() : Optional.of(others.get(random.nextInt(others.size())));
     }
--- a/src/main/java/io/beryldock/node/KeyedModule.java
+++ b/src/main/java/io/beryldock/node/KeyedModule.java
@@ -53,7 +53,7 @@
                 new SecureRandom(),
                 events);
         KeyedRequests requests = KeyedRequests.create(ports, TicketSettings.defaults(), KeySettings.defaults());
-        transport.handle(PeerTopic.TICKETS, requests.handler());
+        transport.registerHandler(PeerTopic.TICKETS, requests.handler());
         return requests;
     }
 
--- a/src/main/java/io/beryldock/node/NodeInspection.java
+++ b/src/main/java/io/beryldock/node/NodeInspection.java
@@ -1,6 +1,6 @@
 package io.beryldock.node;
 
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.admission.GateSnapshot;
 import io.beryldock.call.ServiceLevel;
 import io.beryldock.call.ServiceName;
@@ -42,7 +42,7 @@
             ControlLoop control,
             Membership membership,
             TargetAnnouncements announcements,
-            DoorShedder door,
+            EntryShedder door,
             KeyedRequests keyed,
             NettyPeerTransport transport,
             LedgerTables ledgers,
--- a/src/main/java/io/beryldock/node/NodeModule.java
+++ b/src/main/java/io/beryldock/node/NodeModule.java
@@ -4,14 +4,14 @@
 import com.google.inject.AbstractModule;
 import com.google.inject.Provides;
 import com.google.inject.Singleton;
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.call.DataCentre;
 import io.beryldock.call.Incarnation;
 import io.beryldock.call.NodeId;
 import io.beryldock.call.RequestIds;
+import io.beryldock.configuration.ActiveConfiguration;
 import io.beryldock.configuration.Configuration;
 import io.beryldock.configuration.ConfigurationException;
-import io.beryldock.configuration.ConfigurationKeeper;
 import io.beryldock.configuration.ConfigurationSync;
 import io.beryldock.configuration.ConfigurationWriter;
 import io.beryldock.forwarding.Addresses;
@@ -126,7 +126,7 @@
                 random,
                 events,
                 store);
-        peers.handle(
+        peers.registerHandler(
                 PeerTopic.MEMBERSHIP,
                 message -> control.execute(() -> service.onMessage(NodeId.of(message.sender()), message.body())));
         return service;
@@ -134,9 +134,9 @@
 
     @Provides
     @Singleton
-    ConfigurationKeeper configuration() throws SettingsException {
+    ActiveConfiguration configuration() throws SettingsException {
         try {
-            return ConfigurationKeeper.create(Configuration.defaults(settings.deployment()), events);
+            return ActiveConfiguration.create(Configuration.defaults(settings.deployment()), events);
         } catch (ConfigurationException e) {
             throw new SettingsException("deployment", "a known set of defaults", e.getMessage());
         }
@@ -145,7 +145,7 @@
     @Provides
     @Singleton
     ConfigurationSync configurationSync(
-            ConfigurationKeeper keeper, Membership membership, TimerService timers, RandomGenerator random) {
+            ActiveConfiguration keeper, Membership membership, TimerService timers, RandomGenerator random) {
         ConfigurationSync sync = ConfigurationSync.create(
                 self,
                 keeper,
@@ -158,7 +158,7 @@
                         control,
                         random,
                         events));
-        peers.handle(
+        peers.registerHandler(
                 PeerTopic.CONFIGURATION,
                 message -> control.execute(() -> sync.onMessage(NodeId.of(message.sender()), message.body())));
         return sync;
@@ -166,15 +166,15 @@
 
     @Provides
     @Singleton
-    ConfigurationWriter configurationWriter(ConfigurationKeeper keeper, TimerService timers, RandomGenerator random) {
+    ConfigurationWriter configurationWriter(ActiveConfiguration keeper, TimerService timers, RandomGenerator random) {
         return ConfigurationWriter.create(
                 store, keeper, new ConfigurationWriter.Ports(control, timers, InstantSource.system(), random, events));
     }
 
     @Provides
     @Singleton
-    DoorShedder door(TimerService timers, RandomGenerator random) {
-        return DoorShedder.create(timers.ticker(), random, events);
+    EntryShedder door(TimerService timers, RandomGenerator random) {
+        return EntryShedder.create(timers.ticker(), random, events);
     }
 
     @Provides
--- a/src/main/java/io/beryldock/node/NodeProcess.java
+++ b/src/main/java/io/beryldock/node/NodeProcess.java
@@ -6,7 +6,7 @@
 import io.beryldock.command.OperatorService;
 import io.beryldock.configuration.ConfigurationSync;
 import io.beryldock.forwarding.JoiningRequestHandler;
-import io.beryldock.http.HttpPorts;
+import io.beryldock.http.HttpHandlers;
 import io.beryldock.http.NodeHttpServer;
 import io.beryldock.http.OperatorAccess;
 import io.beryldock.http.OperatorServlet;
@@ -64,11 +64,11 @@
         core.injector().getInstance(ConfigurationSync.class).start();
     }
 
-    private static HttpPorts httpPorts(NodeSettings settings, Injector injector, ControlLoop control)
+    private static HttpHandlers httpPorts(NodeSettings settings, Injector injector, ControlLoop control)
             throws SettingsException {
         TargetAnnouncements announcements = injector.getInstance(TargetAnnouncements.class);
         KeyedRequests keyed = injector.getInstance(KeyedRequests.class);
-        return new HttpPorts(
+        return new HttpHandlers(
                 injector.getInstance(JoiningRequestHandler.class),
                 announcement -> control.execute(() -> announcements.announce(announcement)),
                 () -> CompletableFuture.supplyAsync(() -> mint(keyed), control),
--- a/src/main/java/io/beryldock/node/OperatorModule.java
+++ b/src/main/java/io/beryldock/node/OperatorModule.java
@@ -3,11 +3,11 @@
 import com.google.inject.AbstractModule;
 import com.google.inject.Provides;
 import com.google.inject.Singleton;
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.command.OperatorPorts;
 import io.beryldock.command.OperatorService;
 import io.beryldock.command.StoreConfigurationChanger;
-import io.beryldock.configuration.ConfigurationKeeper;
+import io.beryldock.configuration.ActiveConfiguration;
 import io.beryldock.configuration.ConfigurationSync;
 import io.beryldock.configuration.ConfigurationWriter;
 import io.beryldock.credit.CreditNode;
@@ -41,7 +41,7 @@
             ControlLoop control,
             Membership membership,
             TargetAnnouncements announcements,
-            DoorShedder door,
+            EntryShedder door,
             KeyedRequests keyed,
             NettyPeerTransport transport,
             LedgerTables ledgers,
@@ -65,7 +65,7 @@
             PeerTransport transport,
             RandomGenerator random) {
         QuarantineGossip gossip = new QuarantineGossip(quarantine, membership::directory, self, transport, random);
-        transport.handle(PeerTopic.QUARANTINE, gossip);
+        transport.registerHandler(PeerTopic.QUARANTINE, gossip);
         return gossip;
     }
 
@@ -87,7 +87,7 @@
             NettyPeerTransport transport,
             CreditNode credits,
             EntryWaiting waiting,
-            ConfigurationKeeper configuration,
+            ActiveConfiguration configuration,
             Membership membership) {
         return new NodeMetrics(new NodeMetrics.Parts(
                 tally,
@@ -117,7 +117,7 @@
             PeerTransport transport,
             NodeInspection inspection,
             ConfigurationWriter writer,
-            ConfigurationKeeper keeper,
+            ActiveConfiguration keeper,
             ConfigurationSync sync,
             TargetAnnouncements announcements,
             ControlLoop control,
--- a/src/main/java/io/beryldock/node/QuarantineGossip.java
+++ b/src/main/java/io/beryldock/node/QuarantineGossip.java
@@ -4,7 +4,7 @@
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
 import io.beryldock.call.ServiceName;
-import io.beryldock.forwarding.CrashNews;
+import io.beryldock.forwarding.CrashNotifier;
 import io.beryldock.membership.Directory;
 import io.beryldock.membership.NodeDescriptor;
 import io.beryldock.membership.TargetRecord;
@@ -30,7 +30,7 @@
  *
  * <p>Timers run on the control thread. Crash reports and received messages may come from any thread.
  */
-final class QuarantineGossip implements PeerHandler, CrashNews {
+final class QuarantineGossip implements PeerHandler, CrashNotifier {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final Duration EXPIRY_PERIOD = Duration.ofSeconds(5);
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public CompletableFuture<Void> tell(ServiceName service, QuarantineDelta delta) {
+    public CompletableFuture<Void> notifyNodes(ServiceName service, QuarantineDelta delta) {
         ByteString body = delta.toByteString();
         Directory current = directory.get();
         Stream<NodeDescriptor> ofService = current.targetsOf(service).stream().map(TargetRecord::node);
--- a/src/main/java/io/beryldock/node/RunningNode.java
+++ b/src/main/java/io/beryldock/node/RunningNode.java
@@ -3,7 +3,7 @@
 import io.beryldock.call.ServiceName;
 import io.beryldock.forwarding.ExecutionRegistry;
 import io.beryldock.forwarding.RequestTally;
-import io.beryldock.forwarding.TargetLives;
+import io.beryldock.forwarding.TargetProcesses;
 import io.beryldock.http.NodeHttpServer;
 import io.beryldock.membership.Directory;
 import io.beryldock.membership.Membership;
@@ -92,7 +92,7 @@
         http.close();
         core.close();
         close(PlatformStore.class);
-        close(TargetLives.class);
+        close(TargetProcesses.class);
         owned.ifPresent(SharedResources::close);
     }
 
--- a/src/main/java/io/beryldock/node/TrafficModule.java
+++ b/src/main/java/io/beryldock/node/TrafficModule.java
@@ -4,13 +4,13 @@
 import com.google.inject.Provider;
 import com.google.inject.Provides;
 import com.google.inject.Singleton;
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.admission.GateSettings;
 import io.beryldock.admission.LimitStrategies;
 import io.beryldock.admission.TargetGate;
 import io.beryldock.call.NodeId;
 import io.beryldock.call.RequestIds;
-import io.beryldock.configuration.ConfigurationKeeper;
+import io.beryldock.configuration.ActiveConfiguration;
 import io.beryldock.credit.GateReporter;
 import io.beryldock.eventloop.LoopTimerService;
 import io.beryldock.forwarding.AnnouncedTarget;
@@ -32,9 +32,9 @@
 import io.beryldock.forwarding.TargetClient;
 import io.beryldock.forwarding.TargetCrashDetector;
 import io.beryldock.forwarding.TargetExecutor;
-import io.beryldock.forwarding.TargetLives;
-import io.beryldock.http.ConnectedTargetLives;
+import io.beryldock.forwarding.TargetProcesses;
 import io.beryldock.http.HttpTargetClient;
+import io.beryldock.http.TargetConnectionMonitor;
 import io.beryldock.http.TcpTargetProbe;
 import io.beryldock.idempotency.KeyedRequests;
 import io.beryldock.membership.Membership;
@@ -43,7 +43,7 @@
 import io.beryldock.peer.PeerTopic;
 import io.beryldock.peer.PeerTransport;
 import io.beryldock.quarantine.Quarantine;
-import io.beryldock.quota.QuotaKeeper;
+import io.beryldock.quota.QuotaLimiter;
 import io.beryldock.quota.QuotaTerms;
 import io.beryldock.retry.Backoff;
 import io.beryldock.retry.RetryBudgets;
@@ -144,14 +144,14 @@
 
     @Provides
     @Singleton
-    TargetLives targetLives() {
-        return ConnectedTargetLives.create(new TcpTargetProbe());
+    TargetProcesses targetLives() {
+        return TargetConnectionMonitor.create(new TcpTargetProbe());
     }
 
     @Provides
     @Singleton
     TargetCrashDetector crashDetector(
-            TargetLives lives, Quarantine quarantine, QuarantineGossip gossip, EventSink events) {
+            TargetProcesses lives, Quarantine quarantine, QuarantineGossip gossip, EventSink events) {
         return TargetCrashDetector.create(lives, quarantine, gossip, timers, events);
     }
 
@@ -179,7 +179,7 @@
                 reporter::onLoad,
                 timers,
                 events));
-        transport.handle(PeerTopic.CALL, PeerCallServer.create(executor));
+        transport.registerHandler(PeerTopic.CALL, PeerCallServer.create(executor));
         return executor;
     }
 
@@ -198,7 +198,7 @@
             TargetChooser chooser,
             TargetExecutor executor,
             PeerTransport transport,
-            DoorShedder door,
+            EntryShedder door,
             RetryPolicySettings retries,
             RetryBudgets budgets,
             RetryTally retryTally,
@@ -236,7 +236,7 @@
     @Provides
     @Singleton
     HomeDispatcher homeDispatcher(
-            NodeSettings settings, DoorShedder door, RetryLedger ledger, CallForwarder forwarder) {
+            NodeSettings settings, EntryShedder door, RetryLedger ledger, CallForwarder forwarder) {
         return HomeDispatcher.create(settings.policy(), door, ledger, forwarder);
     }
 
@@ -275,25 +275,25 @@
     @Provides
     @Singleton
     QuotaTerms quotaTerms() {
-        return QuotaTerms.usual();
+        return QuotaTerms.defaults();
     }
 
     @Provides
     @Singleton
-    QuotaKeeper quotas(
+    QuotaLimiter quotas(
             QuotaTerms terms,
             NodeDescriptor self,
             Provider<Membership> membership,
             PeerTransport transport,
-            ConfigurationKeeper configuration,
+            ActiveConfiguration configuration,
             RandomGenerator random) {
-        QuotaKeeper quotas = QuotaKeeper.create(new QuotaKeeper.Ports(
+        QuotaLimiter quotas = QuotaLimiter.create(new QuotaLimiter.Ports(
                 terms,
                 DirectoryQuotaPeers.create(self, () -> membership.get().directory(), transport),
                 () -> configuration.current().organisations(),
                 timers.ticker(),
                 random));
-        transport.handle(
+        transport.registerHandler(
                 PeerTopic.QUOTA,
                 message -> quotas.onMessage(NodeId.of(message.sender()), message.body(), message::reply));
         return quotas;
@@ -303,9 +303,9 @@
     @Singleton
     EntryService entry(
             NodeSettings settings,
-            ConfigurationKeeper configuration,
+            ActiveConfiguration configuration,
             CallerAccess access,
-            QuotaKeeper quotas,
+            QuotaLimiter quotas,
             RootAdmission admission,
             RetryLedger ledger,
             ExecutionRegistry executions,
--- a/src/main/java/io/beryldock/organisation/OrganisationTable.java
+++ b/src/main/java/io/beryldock/organisation/OrganisationTable.java
@@ -58,11 +58,11 @@
         return byName.isEmpty();
     }
 
-    public Optional<Organisation> holderOf(String key) {
+    public Optional<Organisation> findByKey(String key) {
         return Optional.ofNullable(byKey.get(key));
     }
 
-    public Optional<Organisation> named(OrganisationName name) {
+    public Optional<Organisation> findByName(OrganisationName name) {
         return Optional.ofNullable(byName.get(name));
     }
 
--- a/src/main/java/io/beryldock/organisation/Quota.java
+++ b/src/main/java/io/beryldock/organisation/Quota.java
@@ -18,7 +18,7 @@
     }
 
     /** Quota without a limit. */
-    public static Quota none() {
+    public static Quota unlimited() {
         return NONE;
     }
 
--- a/src/main/java/io/beryldock/peer/ClockedPeerTransport.java
+++ b/src/main/java/io/beryldock/peer/ClockedPeerTransport.java
@@ -59,8 +59,8 @@
     }
 
     @Override
-    public void handle(PeerTopic topic, PeerHandler handler) {
-        transport.handle(topic, message -> {
+    public void registerHandler(PeerTopic topic, PeerHandler handler) {
+        transport.registerHandler(topic, message -> {
             if (observe(message.body())) {
                 handler.handle(new UnstampedMessage(message));
             }
--- a/src/main/java/io/beryldock/peer/NettyPeerTransport.java
+++ b/src/main/java/io/beryldock/peer/NettyPeerTransport.java
@@ -109,7 +109,7 @@
     }
 
     @Override
-    public void handle(PeerTopic topic, PeerHandler handler) {
+    public void registerHandler(PeerTopic topic, PeerHandler handler) {
         if (!context.addHandler(topic, handler)) {
             throw new IllegalStateException("topic " + topic + " already has a handler");
         }
--- a/src/main/java/io/beryldock/peer/PeerTransport.java
+++ b/src/main/java/io/beryldock/peer/PeerTransport.java
@@ -27,5 +27,5 @@
     void send(InetSocketAddress peer, PeerTopic topic, ByteString body);
 
     /** Registers the only handler of a topic, before the transport starts. */
-    void handle(PeerTopic topic, PeerHandler handler);
+    void registerHandler(PeerTopic topic, PeerHandler handler);
 }
--- a/src/main/java/io/beryldock/platform/KvStoreClient.java
+++ b/src/main/java/io/beryldock/platform/KvStoreClient.java
@@ -278,7 +278,7 @@
     }
 
     private void recordEra(HttpReply reply) {
-        eras.note(eraOf(reply));
+        eras.observe(eraOf(reply));
     }
 
     /** The era that the response names, or the newest known era if the response names none. */
--- a/src/main/java/io/beryldock/platform/OperatorDocument.java
+++ b/src/main/java/io/beryldock/platform/OperatorDocument.java
@@ -109,7 +109,7 @@
         OptionalInt rank = priority.isIntegralNumber() ? OptionalInt.of(rank(priority)) : OptionalInt.empty();
         double rate = Math.max(0, json.path("ratePerS").asDouble());
         Quota quota = rate == 0
-                ? Quota.none()
+                ? Quota.unlimited()
                 : new Quota(rate, Math.max(0, json.path("burst").asDouble()));
         return new Organisation(OrganisationName.of(name), rank, quota);
     }
--- a/src/main/java/io/beryldock/platform/PlatformModule.java
+++ b/src/main/java/io/beryldock/platform/PlatformModule.java
@@ -6,13 +6,13 @@
 import com.google.inject.Singleton;
 import io.beryldock.admission.GateSettings;
 import io.beryldock.call.NodeId;
-import io.beryldock.configuration.ConfigurationKeeper;
+import io.beryldock.configuration.ActiveConfiguration;
 import io.beryldock.configuration.DocumentSync;
 import io.beryldock.credit.CreditSettings;
 import io.beryldock.forwarding.CallerAccess;
 import io.beryldock.forwarding.ExecutionRegistry;
 import io.beryldock.forwarding.TargetClient;
-import io.beryldock.forwarding.TargetLives;
+import io.beryldock.forwarding.TargetProcesses;
 import io.beryldock.http.TcpTargetProbe;
 import io.beryldock.membership.Membership;
 import io.beryldock.membership.NodeDescriptor;
@@ -95,7 +95,7 @@
                 DirectoryPeers.create(self, () -> membership.get().directory(), transport, random);
         StoreSharing sharing = StoreSharing.create(
                 self.id(), new StoreSharing.Ports(store, recovery, peers, timers, Moment.Source.system(), random));
-        transport.handle(
+        transport.registerHandler(
                 PeerTopic.STORE,
                 message -> control.execute(
                         () -> sharing.onMessage(NodeId.of(message.sender()), message.body(), message::reply)));
@@ -117,7 +117,7 @@
 
     @Provides
     @Singleton
-    DocumentSync documentSync(ConfigurationKeeper keeper, StoreSharing sharing) {
+    DocumentSync documentSync(ActiveConfiguration keeper, StoreSharing sharing) {
         boolean verified = settings.revokedKeysWithin().isPresent();
         return DocumentSync.create(keeper, sharing, OperatorDocument.KEY, document, verified);
     }
@@ -148,8 +148,8 @@
 
     @Provides
     @Singleton
-    TargetLives targetLives(LocalTargets targets) {
-        return new LocalTargetLives(targets, targetClient, new TcpTargetProbe());
+    TargetProcesses targetLives(LocalTargets targets) {
+        return new LocalTargetProcesses(targets, targetClient, new TcpTargetProbe());
     }
 
     @Provides
@@ -205,11 +205,11 @@
      * The terms of a windowed budget. Retries of retried calls are counted too, so the share needs no divisor. The
      * slack is divided evenly between the nodes.
      */
-    private WindowRetryBudget.Terms windowTerms(Membership membership) {
+    private WindowRetryBudget.Limits windowTerms(Membership membership) {
         int nodes = Math.max(1, membership.directory().nodes().size());
         PlatformSettings.Retries retries = settings.retries();
         int minimum = (int) (USED_SLACK * retries.slack() / nodes);
-        return new WindowRetryBudget.Terms(USED_SHARE * retries.share(), minimum, retries.window());
+        return new WindowRetryBudget.Limits(USED_SHARE * retries.share(), minimum, retries.window());
     }
 
     /**
--- a/src/main/java/io/beryldock/platform/PlatformNode.java
+++ b/src/main/java/io/beryldock/platform/PlatformNode.java
@@ -2,8 +2,8 @@
 
 import com.google.common.flogger.FluentLogger;
 import com.google.inject.Injector;
+import io.beryldock.configuration.ActiveConfiguration;
 import io.beryldock.configuration.Configuration;
-import io.beryldock.configuration.ConfigurationKeeper;
 import io.beryldock.configuration.DocumentSync;
 import io.beryldock.eventloop.EventLoops;
 import io.beryldock.forwarding.Addresses;
@@ -90,7 +90,7 @@
         NodeHealth health = injector.getInstance(NodeHealth.class);
         HeartbeatEndpoint heartbeats =
                 new HeartbeatEndpoint(injector.getInstance(LocalTargets.class), settings.service());
-        ConfigurationKeeper configuration = injector.getInstance(ConfigurationKeeper.class);
+        ActiveConfiguration configuration = injector.getInstance(ActiveConfiguration.class);
         CallerEndpoint callers = new CallerEndpoint(
                 injector.getInstance(EntryService.class),
                 settings.service(),
@@ -105,18 +105,18 @@
         HttpServer.bind(Addresses.parse(listeners.requests()), loops, limits, callers);
     }
 
-    private static boolean isConfigured(ConfigurationKeeper configuration) {
+    private static boolean isConfigured(ActiveConfiguration configuration) {
         return configuration.current().version() > Configuration.DEFAULTS_VERSION;
     }
 
     /** A node is ready once it has a configuration: without routes it could only refuse requests. */
-    private static void answerReadiness(HttpExchange exchange, ConfigurationKeeper configuration, NodeHealth health) {
+    private static void answerReadiness(HttpExchange exchange, ActiveConfiguration configuration, NodeHealth health) {
         boolean ready = isConfigured(configuration) && !health.isStopping();
         exchange.answer(HttpAnswer.of(ready ? OK : UNAVAILABLE));
     }
 
     /** Validates changed settings and logs the result; the settings take effect at the next start. */
-    public static void checkChanged(Path file) {
+    public static void checkChangedSettings(Path file) {
         try {
             SettingsReader.readSelfChecked(file, PlatformSettings.class);
             log.atInfo().log("changed settings %s are valid; the changes take effect at the next start", file);
--- a/src/main/java/io/beryldock/platform/PlatformSettings.java
+++ b/src/main/java/io/beryldock/platform/PlatformSettings.java
@@ -216,7 +216,7 @@
     }
 
     QuotaTerms quotaTerms() {
-        return quotas == null ? QuotaTerms.usual() : quotas.terms();
+        return quotas == null ? QuotaTerms.defaults() : quotas.terms();
     }
 
     InetSocketAddress storeAddress() {
--- a/src/main/java/io/beryldock/platform/StandinPlatform.java
+++ b/src/main/java/io/beryldock/platform/StandinPlatform.java
@@ -200,7 +200,7 @@
     }
 
     /** Sends requests that nodes refuse: without a key, with an unknown key, and on a path without a route. */
-    public void requestRefusals() throws InterruptedException {
+    public void sendRefusedRequests() throws InterruptedException {
         requestWithKey("");
         requestWithKey("unknown-key");
         Headers headers = Headers.empty().with(PlatformHeaders.HOST, HOST).with(PlatformHeaders.CREDENTIAL, KEY);
--- a/src/main/java/io/beryldock/quota/QuotaIssuer.java
+++ b/src/main/java/io/beryldock/quota/QuotaIssuer.java
@@ -61,7 +61,7 @@
     }
 
     CompletableFuture<QuotaAnswer> answer(QuotaQuestion question) {
-        Optional<Organisation> found = organisations.get().named(OrganisationName.of(question.getOrganisation()));
+        Optional<Organisation> found = organisations.get().findByName(OrganisationName.of(question.getOrganisation()));
         if (found.isEmpty() || found.get().quota().isUnlimited()) {
             // This node has an earlier or later configuration than the asking node, which will ask again soon.
             return CompletableFuture.completedFuture(answerOf(0, MIN_EMPTY_MILLIS));
--- a/src/main/java/io/beryldock/quota/QuotaKeeper.java
+++ b/src/main/java/io/beryldock/quota/QuotaLimiter.java
@@ -32,7 +32,7 @@
  *
  * <p>Thread safe.
  */
-public final class QuotaKeeper {
+public final class QuotaLimiter {
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int LOG_SECONDS = 10;
@@ -62,7 +62,7 @@
     private final Map<OrganisationName, QuotaShare> shares = new HashMap<>();
     private final Map<OrganisationName, TokenBucket> localBuckets = new HashMap<>();
 
-    private QuotaKeeper(Ports ports) {
+    private QuotaLimiter(Ports ports) {
         this.ports = ports;
         this.messenger = new QuotaMessenger(ports.peers(), ports.ticker());
         this.issuer = new QuotaIssuer(ports.terms(), ports.peers(), messenger, ports.organisations(), ports.ticker());
@@ -76,8 +76,8 @@
             Ticker ticker,
             RandomGenerator random) {}
 
-    public static QuotaKeeper create(Ports ports) {
-        return new QuotaKeeper(ports);
+    public static QuotaLimiter create(Ports ports) {
+        return new QuotaLimiter(ports);
     }
 
     /**
--- a/src/main/java/io/beryldock/quota/QuotaTerms.java
+++ b/src/main/java/io/beryldock/quota/QuotaTerms.java
@@ -49,7 +49,7 @@
     }
 
     /** Terms that apply where operators configure none: 10 % above the quota in a window of five seconds. */
-    public static QuotaTerms usual() {
+    public static QuotaTerms defaults() {
         return new QuotaTerms(5, 0.1, 20, 1);
     }
 
--- a/src/main/java/io/beryldock/retry/RetryQuestion.java
+++ b/src/main/java/io/beryldock/retry/EndedAttempt.java
@@ -17,7 +17,7 @@
  * @param rank priority rank of the request, 0 is the most important
  * @param suspect whether the request was in flight when a target crashed
  */
-public record RetryQuestion(
+public record EndedAttempt(
         CallResult result,
         boolean idempotent,
         int tries,
--- a/src/main/java/io/beryldock/retry/RetryGate.java
+++ b/src/main/java/io/beryldock/retry/RetryGate.java
@@ -25,7 +25,7 @@
     }
 
     /** Decides whether to retry and, if so, takes the retry from account and budget. */
-    public RetryDecision ask(RetryQuestion attempt, RetryAccount account, RetryBudget budget) {
+    public RetryDecision decide(EndedAttempt attempt, RetryAccount account, RetryBudget budget) {
         RetryDecision decision = policy.decide(attempt);
         RetryDecision outcome = decision.isRetry() ? takeRetry(attempt, decision, account, budget) : decision;
         record(attempt, account, outcome);
@@ -33,7 +33,7 @@
     }
 
     private static RetryDecision takeRetry(
-            RetryQuestion attempt, RetryDecision decision, RetryAccount account, RetryBudget budget) {
+            EndedAttempt attempt, RetryDecision decision, RetryAccount account, RetryBudget budget) {
         boolean budgeted = !isExemptFromBudget(attempt);
         if (budgeted && !budget.tryRetry(attempt.rank())) {
             return RetryDecision.STOP_BUDGET_SPENT;
@@ -62,7 +62,7 @@
      * <p>Guards against requests that fail while other targets are idle: when a hundred nodes share a budget, each has
      * less than one retry, so that the first target that is full, leaving or starting would end the request.
      */
-    private static boolean isExemptFromBudget(RetryQuestion attempt) {
+    private static boolean isExemptFromBudget(EndedAttempt attempt) {
         return attempt.result().outcome() == Outcome.NOT_RUN
                 && attempt.result()
                         .reason()
@@ -77,7 +77,7 @@
         };
     }
 
-    private void record(RetryQuestion attempt, RetryAccount account, RetryDecision outcome) {
+    private void record(EndedAttempt attempt, RetryAccount account, RetryDecision outcome) {
         switch (outcome) {
             case RETRY_ELSEWHERE, RESEND ->
                 events.record(
--- a/src/main/java/io/beryldock/retry/RetryPolicy.java
+++ b/src/main/java/io/beryldock/retry/RetryPolicy.java
@@ -34,7 +34,7 @@
         return new RetryPolicy(settings);
     }
 
-    public RetryDecision decide(RetryQuestion attempt) {
+    public RetryDecision decide(EndedAttempt attempt) {
         if (attempt.result().outcome() == Outcome.ANSWERED) {
             return isFailedLeaf(attempt) ? decideElsewhere(attempt) : RetryDecision.STOP_ANSWERED;
         }
@@ -45,7 +45,7 @@
     }
 
     /** A suspect request that may have run may also have crashed its target, so only its caller may send it again. */
-    private RetryDecision decideUnknown(RetryQuestion attempt, Reason reason) {
+    private RetryDecision decideUnknown(EndedAttempt attempt, Reason reason) {
         if (!attempt.idempotent()) {
             return RetryDecision.STOP_MAY_HAVE_RUN;
         }
@@ -53,7 +53,7 @@
     }
 
     /** Whether the answer is a server error of an idempotent call that made no inner calls. */
-    private boolean isFailedLeaf(RetryQuestion attempt) {
+    private boolean isFailedLeaf(EndedAttempt attempt) {
         boolean failed = attempt.result()
                 .answer()
                 .filter(answer -> answer.isServerError() && answer.status() != GATEWAY_TIMEOUT)
@@ -62,7 +62,7 @@
         return settings.failedLeaves() && failed && leaf && attempt.idempotent() && !attempt.suspect();
     }
 
-    private RetryDecision decideByReason(RetryQuestion attempt, Reason reason) {
+    private RetryDecision decideByReason(EndedAttempt attempt, Reason reason) {
         if (!mayHelpElsewhere(reason)) {
             return RetryDecision.STOP_USELESS;
         }
@@ -72,17 +72,17 @@
         return decideElsewhere(attempt);
     }
 
-    private boolean isRefusedDespiteFreeSlots(RetryQuestion attempt, Reason reason) {
+    private boolean isRefusedDespiteFreeSlots(EndedAttempt attempt, Reason reason) {
         boolean hasFreeSlots =
-                attempt.result().load().filter(load -> load.free() > 0).isPresent();
+                attempt.result().load().filter(load -> load.freeSlots() > 0).isPresent();
         return reason == Reason.TARGET_REFUSED && hasFreeSlots && attempt.tries() <= settings.resends();
     }
 
-    private static boolean hasTime(RetryQuestion attempt) {
+    private static boolean hasTime(EndedAttempt attempt) {
         return attempt.remainingNanos() > 0 && attempt.remainingNanos() >= attempt.expectedNanos();
     }
 
-    private static RetryDecision decideElsewhere(RetryQuestion attempt) {
+    private static RetryDecision decideElsewhere(EndedAttempt attempt) {
         if (attempt.fullRefusals() >= MAX_FULL_REFUSALS) {
             return RetryDecision.STOP_SERVICE_FULL;
         }
@@ -92,7 +92,7 @@
         return hasTime(attempt) ? RetryDecision.RETRY_ELSEWHERE : RetryDecision.STOP_NO_TIME;
     }
 
-    /** Whether the reason means that a target was full, which counts towards {@link RetryQuestion#fullRefusals}. */
+    /** Whether the reason means that a target was full, which counts towards {@link EndedAttempt#fullRefusals}. */
     public static boolean isFullRefusal(Reason reason) {
         return switch (reason) {
             case SHED_AT_TARGET, QUEUED_TOO_LONG, TARGET_REFUSED -> true;
--- a/src/main/java/io/beryldock/retry/WindowRetryBudget.java
+++ b/src/main/java/io/beryldock/retry/WindowRetryBudget.java
@@ -30,14 +30,14 @@
     private static final int RATE_BUCKETS = 2;
 
     private final Ticker ticker;
-    private final Terms limits;
+    private final Limits limits;
     private final long bucketNanos;
     private final int[] firstTries = new int[RING_SIZE];
     private final int[] repeats = new int[RING_SIZE];
     private final int[][] requested = new int[PriorityClass.RANKS][RING_SIZE];
     private long bucket;
 
-    private WindowRetryBudget(Ticker ticker, Terms limits) {
+    private WindowRetryBudget(Ticker ticker, Limits limits) {
         this.ticker = ticker;
         this.limits = limits;
         this.bucketNanos = limits.window().toNanos() / BUCKETS;
@@ -51,16 +51,16 @@
      * @param floor repeats allowed in each window in addition to the share
      * @param window length of the sliding window, at least 20 ms
      */
-    public record Terms(double share, int floor, Duration window) {
+    public record Limits(double share, int floor, Duration window) {
 
-        public Terms {
+        public Limits {
             if (share < 0 || share > 1 || floor < 0 || window.compareTo(Duration.ofMillis(BUCKETS)) < 0) {
                 throw new IllegalArgumentException("share must be 0 to 1, floor at least 0 and window at least 20 ms");
             }
         }
     }
 
-    public static WindowRetryBudget create(Ticker ticker, Terms limits) {
+    public static WindowRetryBudget create(Ticker ticker, Limits limits) {
         return new WindowRetryBudget(ticker, limits);
     }
 
--- a/src/main/java/io/beryldock/store/EntryListener.java
+++ b/src/main/java/io/beryldock/store/EntryListener.java
@@ -18,12 +18,12 @@
      * The entry that this listener still applies although the store has lost it or has restored an older value of its
      * key.
      */
-    default Optional<Entry> kept() {
+    default Optional<Entry> retainedEntry() {
         return Optional.empty();
     }
 
     /** Handles an entry that another node still applies although the store no longer holds it. */
-    default void onKept(Entry entry) {}
+    default void onRetainedEntry(Entry entry) {}
 
     /** Reports whether the store answered this node's last call. */
     default void onStore(boolean reachable) {}
--- a/src/main/java/io/beryldock/store/HttpPlatformStore.java
+++ b/src/main/java/io/beryldock/store/HttpPlatformStore.java
@@ -115,7 +115,9 @@
         return result;
     }
 
-    /** Sends the request once; the future fails with the error of the HTTP client, or when the time limit is reached. */
+    /**
+     * Sends the request once; the future fails with the error of the HTTP client, or when the time limit is reached.
+     */
     private CompletableFuture<SimpleHttpResponse> exchange(SimpleHttpRequest request, Duration timeLimit) {
         CompletableFuture<SimpleHttpResponse> answer = new CompletableFuture<>();
         Future<SimpleHttpResponse> sent = client.execute(request, new Completion(answer));
--- a/src/main/java/io/beryldock/store/PlatformStore.java
+++ b/src/main/java/io/beryldock/store/PlatformStore.java
@@ -25,7 +25,8 @@
     /**
      * Writes the value if the key still has the expected version, {@link #ABSENT} for a key without a value.
      *
-     * <p>The future never fails: a lost answer gives {@link WriteResult.Kind#UNKNOWN}, as the write may have taken effect.
+     * <p>The future never fails: a lost answer gives {@link WriteResult.Kind#UNKNOWN}, as the write may have taken
+     * effect.
      */
     CompletableFuture<WriteResult> compareAndSet(String key, long expectedVersion, ByteString value);
 
--- a/src/main/java/io/beryldock/store/RegistryStore.java
+++ b/src/main/java/io/beryldock/store/RegistryStore.java
@@ -7,11 +7,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Client interface of the platform's store for service discovery: nodes write entries under leases, list and watch them.
+ * Client interface of the platform's store for service discovery: nodes write entries under leases, list and watch
+ * them.
  *
  * <p>Thread safe. Futures complete on any thread; the store never blocks its caller. A future fails only with a
- * {@link PlatformException}; a write that failed may have taken effect. Leases only remove the entries of nodes that are
- * gone; safety must not depend on them.
+ * {@link PlatformException}; a write that failed may have taken effect. Leases only remove the entries of nodes that
+ * are gone; safety must not depend on them.
  */
 public interface RegistryStore {
 
@@ -19,8 +20,8 @@
     StoreEras eras();
 
     /**
-     * Lists all entries whose key has the prefix. The listing is not a snapshot, but a watch from its revision misses no
-     * change.
+     * Lists all entries whose key has the prefix. The listing is not a snapshot, but a watch from its revision misses
+     * no change.
      */
     CompletableFuture<Listing> list(String prefix);
 
@@ -52,7 +53,8 @@
      * Changes in the order of their revisions. If their era is not that of the requested revision, they don't continue
      * the history up to it. Immutable.
      *
-     * @param historyGone whether the store has discarded the requested history, so that the entries must be listed again
+     * @param historyGone whether the store has discarded the requested history, so that the entries must be listed
+     *     again
      * @param revision the revision from which to continue watching
      */
     record Changes(boolean historyGone, ImmutableList<Entry> entries, StoreRevision revision) {}
--- a/src/main/java/io/beryldock/store/SharedFollower.java
+++ b/src/main/java/io/beryldock/store/SharedFollower.java
@@ -143,7 +143,7 @@
      */
     void verify() {
         Moment asked = clock.now();
-        TimerThread.hear(timers, store.list(prefix), (listing, failure) -> {
+        TimerThread.onCompletion(timers, store.list(prefix), (listing, failure) -> {
             onStore(failure == null);
             if (failure == null) {
                 applyStored(listing);
@@ -168,7 +168,7 @@
 
     /** The entry that the listener still applies although the store no longer holds it. */
     Optional<Entry> kept() {
-        return listener.kept();
+        return listener.retainedEntry();
     }
 
     /** The latest moment at which the store provably had nothing newer than this node; empty before a verification. */
@@ -184,7 +184,7 @@
      */
     boolean apply(StorePart part) {
         if (part.hasKept()) {
-            listener.onKept(StoreParts.entry(part.getKept()));
+            listener.onRetainedEntry(StoreParts.entry(part.getKept()));
         }
         if (part.getWhole()) {
             applyListing(StoreParts.listing(part));
--- a/src/main/java/io/beryldock/store/StoreEras.java
+++ b/src/main/java/io/beryldock/store/StoreEras.java
@@ -35,12 +35,12 @@
     }
 
     /** Subscribes a task that runs on the timer thread each time the store has been restored from an older copy. */
-    public void onRise(TimerService timers, Runnable task) {
+    public void onNewEra(TimerService timers, Runnable task) {
         subscribers.add(() -> timers.after(Duration.ZERO, task));
     }
 
     /** Records the era that an answer reported; a delayed answer may report an earlier era, which has no effect. */
-    public void note(long era) {
+    public void observe(long era) {
         long before = newest.getAndAccumulate(era, Math::max);
         if (before == NONE && era > before) {
             log.atInfo().log("the store is in era %d", era);
--- a/src/main/java/io/beryldock/store/StoreFollower.java
+++ b/src/main/java/io/beryldock/store/StoreFollower.java
@@ -116,7 +116,7 @@
     void start() {
         watchNumber++;
         watchRevision = StoreRevision.NONE;
-        TimerThread.hear(timers, store.list(prefix), this::onListed);
+        TimerThread.onCompletion(timers, store.list(prefix), this::onListed);
     }
 
     private void onListed(Listing listing, Throwable failure) {
@@ -164,7 +164,7 @@
         }
         watchRevision = revision;
         int number = ++watchNumber;
-        TimerThread.hear(timers, store.changes(prefix, revision, WATCH), (changes, failure) -> {
+        TimerThread.onCompletion(timers, store.changes(prefix, revision, WATCH), (changes, failure) -> {
             if (number == watchNumber) {
                 onWatched(revision, changes, failure);
             }
--- a/src/main/java/io/beryldock/store/StorePeers.java
+++ b/src/main/java/io/beryldock/store/StorePeers.java
@@ -13,7 +13,7 @@
     ImmutableSet<NodeId> ownDataCentre();
 
     /** A random node of another data centre; empty when none is known. */
-    Optional<NodeId> elsewhere();
+    Optional<NodeId> randomRemoteNode();
 
     /** Sends a question to the node. The future completes on any thread, and fails when no answer arrives in time. */
     CompletableFuture<ByteString> ask(NodeId node, ByteString question);
@@ -31,7 +31,7 @@
             }
 
             @Override
-            public Optional<NodeId> elsewhere() {
+            public Optional<NodeId> randomRemoteNode() {
                 return Optional.empty();
             }
 
--- a/src/main/java/io/beryldock/store/StoreRecovery.java
+++ b/src/main/java/io/beryldock/store/StoreRecovery.java
@@ -7,7 +7,8 @@
  * Notifies subscribers when the store answers again after failed calls.
  *
  * <p>Guards against a watch that waits on a connection which an outage has silenced: such a watch would miss changes
- * until its long wait times out. Short calls that are made anyway, such as lease renewals, detect the outage and its end.
+ * until its long wait times out. Short calls that are made anyway, such as lease renewals, detect the outage and its
+ * end.
  *
  * <p>Used on the timer thread only.
  */
--- a/src/main/java/io/beryldock/store/StoreSharing.java
+++ b/src/main/java/io/beryldock/store/StoreSharing.java
@@ -25,10 +25,10 @@
  * changes to the others.
  *
  * <p>Guards against a number of store calls that grows with the square of the number of nodes: without sharing, each
- * change completes the watch of every node, and every node has to start a new watch. Each second a node asks the watcher
- * for later changes, which recovers the content of lost messages; a watcher that does not answer is replaced. Watchers
- * also ask nodes of other data centres, which detects a watch whose connection has gone silent. If there is no other
- * data centre, two nodes watch.
+ * change completes the watch of every node, and every node has to start a new watch. Each second a node asks the
+ * watcher for later changes, which recovers the content of lost messages; a watcher that does not answer is replaced.
+ * Watchers also ask nodes of other data centres, which detects a watch whose connection has gone silent. If there is no
+ * other data centre, two nodes watch.
  *
  * <p>Used on the timer thread only.
  */
@@ -88,7 +88,7 @@
 
     public static StoreSharing create(NodeId self, Ports ports) {
         StoreSharing sharing = new StoreSharing(self, ports);
-        ports.store().eras().onRise(ports.timers(), () -> ports.timers().after(ERA_CHANGE_DELAY, sharing::enterEra));
+        ports.store().eras().onNewEra(ports.timers(), () -> ports.timers().after(ERA_CHANGE_DELAY, sharing::enterEra));
         ports.timers().after(FIRST_ELECTION_DELAY, sharing::tick);
         ports.timers().every(QUESTION_PERIOD, sharing::tick);
         return sharing;
@@ -147,7 +147,7 @@
         if (notice.isEmpty()) {
             return;
         }
-        eras().note(notice.get().getEra());
+        eras().observe(notice.get().getEra());
         if (notice.get().getQuestion()) {
             reply.accept(questionHandler.answer(notice.get(), watching()).toByteString());
         } else {
@@ -175,7 +175,7 @@
         ImmutableSet<NodeId> members = ports.peers().ownDataCentre();
         choice.nextToAsk(members, watcherCount(), now(ports)).ifPresent(this::ask);
         if (isWatcher()) {
-            ports.peers().elsewhere().ifPresent(this::ask);
+            ports.peers().randomRemoteNode().ifPresent(this::ask);
             probe();
         } else {
             verified.stream().filter(this::isUnverified).forEach(SharedFollower::verify);
@@ -199,7 +199,8 @@
             verified.forEach(SharedFollower::verify);
             return;
         }
-        TimerThread.hear(ports.timers(), ports.store().probe(), (done, failure) -> onStoreCall(failure == null));
+        TimerThread.onCompletion(
+                ports.timers(), ports.store().probe(), (done, failure) -> onStoreCall(failure == null));
     }
 
     private void onStoreCall(boolean answered) {
@@ -231,7 +232,7 @@
 
     private boolean knowsOthers() {
         return ports.peers().ownDataCentre().size() > 1
-                || ports.peers().elsewhere().isPresent();
+                || ports.peers().randomRemoteNode().isPresent();
     }
 
     private boolean isWatcher() {
@@ -239,14 +240,14 @@
     }
 
     private int watcherCount() {
-        return ports.peers().elsewhere().isPresent() ? WatcherChoice.WITH_OTHER_CENTRES : WatcherChoice.ALONE;
+        return ports.peers().randomRemoteNode().isPresent() ? WatcherChoice.WITH_OTHER_CENTRES : WatcherChoice.ALONE;
     }
 
     private void ask(NodeId node) {
         StoreNotice.Builder question = notice().setQuestion(true);
         followers.forEach((prefix, follower) -> question.addParts(known(prefix, follower)));
         Moment asked = ports.clock().now();
-        TimerThread.hear(
+        TimerThread.onCompletion(
                 ports.timers(),
                 ports.peers().ask(node, question.build().toByteString()),
                 (answer, failure) -> onAnswer(node, asked, answer, failure));
@@ -265,7 +266,7 @@
         }
         Optional<StoreNotice> notice = read(node, answer);
         if (notice.isPresent()) {
-            eras().note(notice.get().getEra());
+            eras().observe(notice.get().getEra());
             apply(node, notice.get());
             noteVerified(asked, notice.get());
         }
--- a/src/main/java/io/beryldock/time/TimerThread.java
+++ b/src/main/java/io/beryldock/time/TimerThread.java
@@ -11,7 +11,7 @@
     private TimerThread() {}
 
     /** Runs the task on the timer thread once the call has completed; the failure is null if the call succeeded. */
-    public static <T> void hear(TimerService timers, CompletableFuture<T> call, BiConsumer<T, Throwable> task) {
+    public static <T> void onCompletion(TimerService timers, CompletableFuture<T> call, BiConsumer<T, Throwable> task) {
         call.whenComplete(
                 (value, failure) -> timers.after(Duration.ZERO, () -> task.accept(value, unwrapped(failure))));
     }
--- a/src/main/java/io/beryldock/timeline/EventSampler.java
+++ b/src/main/java/io/beryldock/timeline/EventSampler.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Limits the number of recorded events of one kind per second and counts the others, so that a flood of refusals neither
- * costs time nor evicts other events from the time line. Thread safe.
+ * Limits the number of recorded events of one kind per second and counts the others, so that a flood of refusals
+ * neither costs time nor evicts other events from the time line. Thread safe.
  */
 public final class EventSampler {
 
@@ -26,7 +26,7 @@
     }
 
     /** Whether to record the next event; an event that is not to be recorded is counted. */
-    public boolean take(long now) {
+    public boolean shouldRecord(long now) {
         long start = periodStart.get();
         boolean periodEnded = start == Long.MIN_VALUE || now - start >= PERIOD_NANOS;
         if (periodEnded && periodStart.compareAndSet(start, now)) {
--- a/src/main/java/io/beryldock/timeline/RefusalCounter.java
+++ b/src/main/java/io/beryldock/timeline/RefusalCounter.java
@@ -14,8 +14,8 @@
  * Counts the requests that this node refused, by reason, class, service and caller, over the last hour.
  *
  * <p>Thread safe, with short critical sections. Memory is bounded for any number of names that callers send:
- * {@link #KINDS_PER_BUCKET} combinations in each of {@link #BUCKETS} buckets. Beyond that limit only names are lost: the
- * counts of a time span always sum to the refusals within it, with the precision of one bucket.
+ * {@link #KINDS_PER_BUCKET} combinations in each of {@link #BUCKETS} buckets. Beyond that limit only names are lost:
+ * the counts of a time span always sum to the refusals within it, with the precision of one bucket.
  */
 public final class RefusalCounter {
 
@@ -47,8 +47,8 @@
     }
 
     /**
-     * The counts of the given most recent time span, with the precision of one bucket: one element per combination, in no
-     * particular order.
+     * The counts of the given most recent time span, with the precision of one bucket: one element per combination, in
+     * no particular order.
      */
     public synchronized ImmutableList<RefusalCount> last(Duration length) {
         long first = bucketNumber(ticker.nanos() - length.toNanos());
--- a/src/main/java/io/beryldock/timeline/TimelineTextWriter.java
+++ b/src/main/java/io/beryldock/timeline/TimelineTextWriter.java
@@ -8,7 +8,9 @@
 
     private TimelineTextWriter() {}
 
-    /** Returns lines with time, data centre, node, kind, subject, count, detail and request; place and kind are aligned. */
+    /**
+     * Returns lines with time, data centre, node, kind, subject, count, detail and request; place and kind are aligned.
+     */
     public static String write(Collection<Event> events) {
         int placeWidth =
                 events.stream().mapToInt(event -> place(event).length()).max().orElse(0);
--- a/src/main/java/io/beryldock/waiting/DecidedRequest.java
+++ b/src/main/java/io/beryldock/waiting/DecidedRequest.java
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public void leave() {
+    public void cancel() {
         // The request is not queued, so there is nothing to remove.
     }
 }
--- a/src/main/java/io/beryldock/waiting/EntryAdmission.java
+++ b/src/main/java/io/beryldock/waiting/EntryAdmission.java
@@ -17,7 +17,7 @@
         CompletableFuture<EntryDecision> decision();
 
         /** Cancels the wait because the caller has left, which frees the request's place in the queue. */
-        void leave();
+        void cancel();
     }
 
     Pending admit(WaitingRequest request);
--- a/src/main/java/io/beryldock/waiting/EntryWaiting.java
+++ b/src/main/java/io/beryldock/waiting/EntryWaiting.java
@@ -55,10 +55,10 @@
         if (stopped) {
             return DecidedRequest.of(EntryDecision.refused(0));
         }
-        if (!ports.credits().governs(request.tree())) {
+        if (!ports.credits().requiresCredits(request.tree())) {
             return DecidedRequest.notGoverned();
         }
-        ports.credits().demand(request.tree(), request.claimant());
+        ports.credits().recordDemand(request.tree(), request.claimant());
         Waiter[] arrived = new Waiter[1];
         decide((now, out) -> arrived[0] = room.arrive(request, this::cancel, now, out));
         return arrived[0];
--- a/src/main/java/io/beryldock/waiting/Waiter.java
+++ b/src/main/java/io/beryldock/waiting/Waiter.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void leave() {
+    public void cancel() {
         onCancel.accept(this);
     }
 
--- a/src/main/java/io/beryldock/waiting/WaitingRoom.java
+++ b/src/main/java/io/beryldock/waiting/WaitingRoom.java
@@ -161,7 +161,7 @@
     }
 
     private boolean releaseUngoverned(WaitingLine line, List<Waiter> out) {
-        if (credits.governs(line.tree())) {
+        if (credits.requiresCredits(line.tree())) {
             return false;
         }
         while (!line.isEmpty()) {
@@ -221,7 +221,7 @@
     }
 
     private void recordRefusal(Waiter waiter, RefusalCause cause, long retryAfterMillis, long now) {
-        if (refusals.take(now)) {
+        if (refusals.shouldRecord(now)) {
             String detail = "rank " + waiter.rank() + ": " + cause.message() + "; told to return in " + retryAfterMillis
                     + " ms";
             refusals.record(Optional.empty(), waiter.request().tree().service().value(), detail);
--- a/src/test/java/io/beryldock/admission/AdmissionBenchmark.java
+++ b/src/test/java/io/beryldock/admission/AdmissionBenchmark.java
@@ -57,7 +57,7 @@
     private ThreadTimerService timers;
     private TargetGate free;
     private TargetGate full;
-    private DoorShedder shedder;
+    private EntryShedder shedder;
     private ServiceName[] services;
     private int next;
 
@@ -84,7 +84,7 @@
         }
         // Levels must not age during the run, but reading the clock is part of the cost.
         Ticker ticker = () -> System.nanoTime() % 1_000_000;
-        shedder = DoorShedder.create(ticker, random, EventSink.none());
+        shedder = EntryShedder.create(ticker, random, EventSink.none());
         services = new ServiceName[Math.max(1, closedServices)];
         for (int i = 0; i < services.length; i++) {
             services[i] = ServiceName.of("service-" + i);
@@ -120,7 +120,7 @@
     }
 
     @Benchmark
-    public DoorDecision decideAtEntry() {
+    public ShedDecision decideAtEntry() {
         next = (next + 1) % services.length;
         return shedder.decide(services[next], 6, next);
     }
--- a/src/test/java/io/beryldock/admission/ChainSimulation.java
+++ b/src/test/java/io/beryldock/admission/ChainSimulation.java
@@ -31,7 +31,7 @@
     final List<SimService> chain = new ArrayList<>();
     final AtomicInteger violations = new AtomicInteger();
     private final Setup setup;
-    private final List<DoorShedder> shedders = new ArrayList<>();
+    private final List<EntryShedder> shedders = new ArrayList<>();
     private final int[] goodByBucket;
     private final long[] sentByRank = new long[8];
     private final long[] answeredByRank = new long[8];
@@ -118,7 +118,7 @@
             chain.add(0, serviceBelow);
         }
         for (int i = 0; i < setup.entries(); i++) {
-            shedders.add(DoorShedder.create(timers.ticker(), random, events));
+            shedders.add(EntryShedder.create(timers.ticker(), random, events));
         }
     }
 
@@ -177,7 +177,7 @@
         int hash = CallerHash.of("caller-" + random.nextInt(CALLERS), 0);
         boolean counted = now() >= setup.from() && now() < setup.seconds() - 1;
         sentByRank[rank] += counted ? 1 : 0;
-        DoorShedder shedder = shedders.get(random.nextInt(shedders.size()));
+        EntryShedder shedder = shedders.get(random.nextInt(shedders.size()));
         SimService root = chain.get(0);
         if (setup.shedAtEntry() && !shedder.decide(root.name, rank, hash).admitted()) {
             shedByRank[rank] += counted ? 1 : 0;
--- a/src/test/java/io/beryldock/admission/DoorShedderTest.java
+++ b/src/test/java/io/beryldock/admission/EntryShedderTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-class DoorShedderTest {
+class EntryShedderTest {
 
     private static final ServiceName LISTS = ServiceName.of("lists");
     private static final ServiceName HOLDINGS = ServiceName.of("holdings");
@@ -22,8 +22,8 @@
     private static final int HALF_OF_BROWSING_LEVEL = BROWSING * ServiceLevel.STEPS + ServiceLevel.STEPS / 2;
 
     private final ManualTimerService timers = ManualTimerService.create();
-    private final DoorShedder shedder =
-            DoorShedder.create(timers.ticker(), new Random(1), GateFixture.FAIL_ON_VIOLATION);
+    private final EntryShedder shedder =
+            EntryShedder.create(timers.ticker(), new Random(1), GateFixture.FAIL_ON_VIOLATION);
 
     @Example
     void lowestLevelBelowTheServiceShedsAtTheEntry() {
--- a/src/test/java/io/beryldock/call/TreeCostTest.java
+++ b/src/test/java/io/beryldock/call/TreeCostTest.java
@@ -48,7 +48,7 @@
     /** Guards against dispatching to a target that has free slots but admits no requests because it is draining. */
     @Test
     void drainingTargetHasNoFreeSlot() {
-        assertThat(new TargetLoad(1, 16, 4, 2, 0, false, false).free()).isEqualTo(10);
-        assertThat(new TargetLoad(1, 16, 4, 2, 0, false, true).free()).isZero();
+        assertThat(new TargetLoad(1, 16, 4, 2, 0, false, false).freeSlots()).isEqualTo(10);
+        assertThat(new TargetLoad(1, 16, 4, 2, 0, false, true).freeSlots()).isZero();
     }
 }
--- a/src/test/java/io/beryldock/command/FakeDeployment.java
+++ b/src/test/java/io/beryldock/command/FakeDeployment.java
@@ -165,7 +165,7 @@
         }
 
         @Override
-        public void handle(PeerTopic topic, PeerHandler handler) {
+        public void registerHandler(PeerTopic topic, PeerHandler handler) {
             from.handlers.put(topic, handler);
         }
     }
--- a/src/test/java/io/beryldock/command/FakeNode.java
+++ b/src/test/java/io/beryldock/command/FakeNode.java
@@ -6,9 +6,9 @@
 import io.beryldock.call.NodeId;
 import io.beryldock.call.ServiceLevel;
 import io.beryldock.call.ServiceName;
+import io.beryldock.configuration.ActiveConfiguration;
 import io.beryldock.configuration.Configuration;
 import io.beryldock.configuration.ConfigurationException;
-import io.beryldock.configuration.ConfigurationKeeper;
 import io.beryldock.configuration.ConfigurationSync;
 import io.beryldock.configuration.ConfigurationWriter;
 import io.beryldock.membership.NodeDescriptor;
@@ -40,7 +40,7 @@
     NodeInspector inspector = this::inspect;
     private final FakeDeployment deployment;
     private final Random random;
-    private final ConfigurationKeeper keeper;
+    private final ActiveConfiguration keeper;
     private TargetState state = TargetState.READY;
     private long revision;
 
@@ -51,7 +51,7 @@
         HybridLogicalClock clock = HybridLogicalClock.create(deployment::wall);
         this.events = EventRing.create(self.id(), dataCentre, clock, 1000, random);
         this.refusals = RefusalCounter.create(deployment.timers.ticker());
-        this.keeper = ConfigurationKeeper.create(defaults(), events);
+        this.keeper = ActiveConfiguration.create(defaults(), events);
     }
 
     void start() {
@@ -68,7 +68,7 @@
                         Runnable::run,
                         random,
                         events));
-        transport.handle(
+        transport.registerHandler(
                 PeerTopic.CONFIGURATION, message -> sync.onMessage(NodeId.of(message.sender()), message.body()));
         ConfigurationWriter writer = ConfigurationWriter.create(
                 deployment.store,
--- a/src/test/java/io/beryldock/configuration/DocumentSyncTest.java
+++ b/src/test/java/io/beryldock/configuration/DocumentSyncTest.java
@@ -24,7 +24,7 @@
     private final ManualTimerService timers = ManualTimerService.create();
     private final FakeRegistry registry = new FakeRegistry(timers);
     private final SharingFleet fleet = new SharingFleet(registry, timers);
-    private final List<ConfigurationKeeper> configurations = new ArrayList<>();
+    private final List<ActiveConfiguration> configurations = new ArrayList<>();
 
     DocumentSyncTest() throws ConfigurationException {
         for (int i = 0; i < NODES; i++) {
@@ -33,7 +33,7 @@
     }
 
     private void addNode(int number) throws ConfigurationException {
-        ConfigurationKeeper activeConfiguration = ConfigurationKeeper.create(Configuration.defaults("none"));
+        ActiveConfiguration activeConfiguration = ActiveConfiguration.create(Configuration.defaults("none"));
         configurations.add(activeConfiguration);
         StoreSharing sharing = fleet.add("n" + number, "gent-a");
         DocumentSync.create(activeConfiguration, sharing, KEY, DocumentSyncTest::decode, number % 2 == 0)
@@ -104,7 +104,7 @@
         write("8");
         write("9");
         timers.advance(Duration.ofSeconds(1));
-        registry.comeBackFrom(copy);
+        registry.restoreFrom(copy);
         write("9");
         timers.advance(Duration.ofSeconds(2));
         write("10");
@@ -120,7 +120,7 @@
         FakeRegistry.Copy copy = registry.copy();
         write("8");
         timers.advance(Duration.ofSeconds(4));
-        registry.comeBackFrom(copy);
+        registry.restoreFrom(copy);
         timers.advance(Duration.ofSeconds(1));
         addNode(NODES);
         timers.advance(Duration.ofSeconds(2));
@@ -136,7 +136,7 @@
         FakeRegistry.Copy empty = registry.copy();
         write("8");
         timers.advance(Duration.ofSeconds(4));
-        registry.comeBackFrom(empty);
+        registry.restoreFrom(empty);
         timers.advance(Duration.ofSeconds(1));
         addNode(NODES);
         timers.advance(Duration.ofSeconds(2));
--- a/src/test/java/io/beryldock/configuration/FleetNode.java
+++ b/src/test/java/io/beryldock/configuration/FleetNode.java
@@ -25,12 +25,12 @@
     private final Fleet fleet;
     private final List<Runnable> deferred = new ArrayList<>();
     NodeDescriptor self;
-    ConfigurationKeeper activeConfiguration;
+    ActiveConfiguration activeConfiguration;
     ConfigurationSync sync;
     ConfigurationWriter writer;
     CompletableFuture<StartReport> started;
     UnaryOperator<PlatformStore> storeWrapper = UnaryOperator.identity();
-    ConfigurationKeeper.VersionRule versionRule = ConfigurationKeeper.HIGHER_ONLY;
+    ActiveConfiguration.VersionRule versionRule = ActiveConfiguration.HIGHER_ONLY;
     boolean stopped = true;
     boolean paused;
     boolean inDirectory = true;
@@ -61,7 +61,7 @@
         NodeTimers timers = new NodeTimers(incarnation);
         Random random = new Random(fleet.random.nextLong());
         PlatformStore store = storeWrapper.apply(new ReachableStore());
-        activeConfiguration = ConfigurationKeeper.create(defaults(), EventSink.none(), versionRule);
+        activeConfiguration = ActiveConfiguration.create(defaults(), EventSink.none(), versionRule);
         activeConfiguration.onChange(next -> fleet.checkVersion(this, next));
         sync = ConfigurationSync.create(
                 self,
--- a/src/test/java/io/beryldock/credit/CreditSimulation.java
+++ b/src/test/java/io/beryldock/credit/CreditSimulation.java
@@ -2,7 +2,7 @@
 
 import com.google.common.collect.ImmutableList;
 import io.beryldock.admission.Completion;
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.admission.GateListener;
 import io.beryldock.admission.GateRequest;
 import io.beryldock.admission.GateSettings;
@@ -133,7 +133,7 @@
         void onCallEnd(TargetGate gate, boolean ok) {
             failed |= !ok;
             left--;
-            entry.node.keeper().observe(levels(gate));
+            entry.node.entryCredits().observe(levels(gate));
             if (left == CALLS / 2 && !failed) {
                 sendCalls();
             } else if (left == 0 || left == CALLS / 2) {
@@ -150,19 +150,19 @@
     private final class Entry {
         private final NodeId id;
         private final CreditNode node;
-        private final DoorShedder door = DoorShedder.create(timers.ticker(), random, EventSink.none());
+        private final EntryShedder door = EntryShedder.create(timers.ticker(), random, EventSink.none());
         private final Deque<Long> waiting = new ArrayDeque<>();
         private boolean lost;
 
         Entry(NodeId id) {
             this.id = id;
             this.node = fleet.add(id, Optional::empty);
-            node.keeper().onCredits(this::serve);
+            node.entryCredits().onCredits(this::serve);
         }
 
         void request() {
-            if (node.keeper().governs(TREE)) {
-                node.keeper().demand(TREE, CLAIMANT);
+            if (node.entryCredits().requiresCredits(TREE)) {
+                node.entryCredits().recordDemand(TREE, CLAIMANT);
             }
             waiting.add(now());
             serve();
@@ -171,12 +171,12 @@
         private void serve() {
             waiting.removeIf(at -> lost || now() - at > WAIT_LIMIT);
             while (!waiting.isEmpty()) {
-                if (!node.keeper().governs(TREE)) {
+                if (!node.entryCredits().requiresCredits(TREE)) {
                     long asked = waiting.remove();
                     if (door.decide(TREE.service(), 1, random.nextInt()).admitted()) {
                         start(new Tree(this, asked, false));
                     }
-                } else if (node.keeper().take(TREE, CLAIMANT)) {
+                } else if (node.entryCredits().take(TREE, CLAIMANT)) {
                     start(new Tree(this, waiting.remove(), true));
                 } else {
                     return;
@@ -188,7 +188,8 @@
             door.observe(TREE.service(), 1, levels(gate));
             TreeCost below = new TreeCost(
                     ImmutableList.of(new TreeCost.ServiceCost(CreditFleet.SCARCE, CALLS, (long) tree.used)));
-            node.keeper().ended(TREE, below.plus(TreeCost.ofCall(TREE.service(), now() - tree.at)), !tree.failed);
+            node.entryCredits()
+                    .recordTreeCost(TREE, below.plus(TreeCost.ofCall(TREE.service(), now() - tree.at)), !tree.failed);
         }
     }
 
@@ -230,7 +231,7 @@
     }
 
     private int lessLoaded(int one, int other) {
-        return gates.get(one).load().free() >= gates.get(other).load().free() ? one : other;
+        return gates.get(one).load().freeSlots() >= gates.get(other).load().freeSlots() ? one : other;
     }
 
     private GateReporter reporter(int centre) {
--- a/src/test/java/io/beryldock/credit/CreditKeeperTest.java
+++ b/src/test/java/io/beryldock/credit/EntryCreditsTest.java
@@ -19,7 +19,7 @@
  * Fleet of one entry node, one node whose gate serves a scarce service and which is its home node, and one node with
  * the gate of another service.
  */
-final class CreditKeeperTest {
+final class EntryCreditsTest {
 
     private static final ServiceName OTHER = ServiceName.of("scanstore");
     private static final TreeKey TREE = new TreeKey("browse", ServiceName.of("catalogue"));
@@ -32,8 +32,8 @@
     private final ImmutableList<NodeId> ranked =
             NodeRanking.of(ImmutableList.of(NodeId.of("c0-a"), NodeId.of("c0-b")), CreditFleet.SCARCE.value());
     private final NodeId home = ranked.get(0);
-    private final CreditKeeper entryCredits =
-            fleet.add(ranked.get(1), Optional::empty).keeper();
+    private final EntryCredits entryCredits =
+            fleet.add(ranked.get(1), Optional::empty).entryCredits();
 
     private void addGate(NodeId node, ServiceName service) {
         fleet.add(node, () -> Optional.of(new GateLoad(service, FULL)))
@@ -42,12 +42,12 @@
     }
 
     private void learn(ServiceCost... costs) {
-        entryCredits.ended(TREE, new TreeCost(ImmutableList.copyOf(costs)), true);
+        entryCredits.recordTreeCost(TREE, new TreeCost(ImmutableList.copyOf(costs)), true);
     }
 
     private void demand(int trees) {
         for (int i = 0; i < trees; i++) {
-            entryCredits.demand(TREE, CLAIMANT);
+            entryCredits.recordDemand(TREE, CLAIMANT);
         }
     }
 
@@ -61,10 +61,10 @@
         learn(new ServiceCost(CreditFleet.SCARCE, 1, 10_000_000));
         timers.advance(Duration.ofMillis(5));
         reportShortage(CreditFleet.SCARCE);
-        assertThat(entryCredits.governs(TREE)).isFalse();
+        assertThat(entryCredits.requiresCredits(TREE)).isFalse();
         timers.advance(Duration.ofMillis(60));
-        assertThat(entryCredits.governs(TREE)).isTrue();
-        assertThat(entryCredits.governs(new TreeKey("search", TREE.service())))
+        assertThat(entryCredits.requiresCredits(TREE)).isTrue();
+        assertThat(entryCredits.requiresCredits(new TreeKey("search", TREE.service())))
                 .as("unknown kind of tree")
                 .isFalse();
     }
@@ -115,11 +115,11 @@
         demand(1);
         timers.advance(Duration.ofMillis(60));
         fleet.setReachable((from, to) -> false);
-        for (int i = 0; i < 400 && entryCredits.governs(TREE); i++) {
+        for (int i = 0; i < 400 && entryCredits.requiresCredits(TREE); i++) {
             demand(1);
             timers.advance(MILLI);
         }
-        assertThat(entryCredits.governs(TREE)).isFalse();
+        assertThat(entryCredits.requiresCredits(TREE)).isFalse();
     }
 
     /** Guards against credits being required for a service that has capacity again. */
@@ -131,7 +131,7 @@
         reportShortage(CreditFleet.SCARCE);
         demand(1);
         timers.advance(Duration.ofMillis(2100));
-        assertThat(entryCredits.governs(TREE)).isFalse();
+        assertThat(entryCredits.requiresCredits(TREE)).isFalse();
         int messages = fleet.messages();
         demand(5);
         assertThat(fleet.messages()).isEqualTo(messages);
--- a/src/test/java/io/beryldock/credit/NoCredits.java
+++ b/src/test/java/io/beryldock/credit/NoCredits.java
@@ -8,7 +8,7 @@
 public class NoCredits implements TreeCredits {
 
     @Override
-    public boolean governs(TreeKey tree) {
+    public boolean requiresCredits(TreeKey tree) {
         return false;
     }
 
@@ -16,7 +16,7 @@
     public void observe(ImmutableList<ServiceLevel> levels) {}
 
     @Override
-    public void demand(TreeKey tree, Claimant claimant) {}
+    public void recordDemand(TreeKey tree, Claimant claimant) {}
 
     @Override
     public boolean take(TreeKey tree, Claimant claimant) {
@@ -27,7 +27,7 @@
     public void giveBack(TreeKey tree, Claimant claimant) {}
 
     @Override
-    public void ended(TreeKey tree, TreeCost used, boolean succeeded) {}
+    public void recordTreeCost(TreeKey tree, TreeCost used, boolean succeeded) {}
 
     @Override
     public long expectedWaitNanos(TreeKey tree, Claimant claimant, int ahead) {
--- a/src/test/java/io/beryldock/forwarding/CallerAccessTest.java
+++ b/src/test/java/io/beryldock/forwarding/CallerAccessTest.java
@@ -23,7 +23,7 @@
 final class CallerAccessTest {
 
     private static final Organisation GENT =
-            new Organisation(OrganisationName.of("gent"), OptionalInt.empty(), Quota.none());
+            new Organisation(OrganisationName.of("gent"), OptionalInt.empty(), Quota.unlimited());
     private static final OrganisationTable TABLE = OrganisationTable.of(Map.of(GENT, List.of("key-1")));
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
     private static final Duration BOUND = Duration.ofSeconds(5);
--- a/src/test/java/io/beryldock/forwarding/RootAdmissionTest.java
+++ b/src/test/java/io/beryldock/forwarding/RootAdmissionTest.java
@@ -5,7 +5,7 @@
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableSet;
 import com.google.protobuf.ByteString;
-import io.beryldock.admission.DoorShedder;
+import io.beryldock.admission.EntryShedder;
 import io.beryldock.call.Answer;
 import io.beryldock.call.Call;
 import io.beryldock.call.CallContext;
@@ -49,7 +49,7 @@
     private boolean left;
     private CallResult result = CallResult.answered(new Answer(200, Headers.empty(), ByteString.EMPTY));
 
-    private final DoorShedder shedder = DoorShedder.create(timers.ticker(), new Random(1), EventSink.none());
+    private final EntryShedder shedder = EntryShedder.create(timers.ticker(), new Random(1), EventSink.none());
     private final RootAdmission admission = RootAdmission.create(new RootAdmission.Ports(
             Policy.FULL, shedder, new AlwaysGoverningCredits(), new SingleWaitAdmission(), timers.ticker()));
 
@@ -141,7 +141,7 @@
                 }
 
                 @Override
-                public void leave() {
+                public void cancel() {
                     left = true;
                 }
             };
@@ -155,7 +155,7 @@
     private final class AlwaysGoverningCredits extends NoCredits {
 
         @Override
-        public boolean governs(TreeKey tree) {
+        public boolean requiresCredits(TreeKey tree) {
             return true;
         }
 
--- a/src/test/java/io/beryldock/forwarding/TargetCrashDetectorTest.java
+++ b/src/test/java/io/beryldock/forwarding/TargetCrashDetectorTest.java
@@ -19,8 +19,8 @@
     private final ManualTimerService time = ManualTimerService.create();
     private final Quarantine quarantine = TargetFixtures.quarantine(time);
     private final AnnouncedTarget target = TargetFixtures.target(time);
-    private CompletableFuture<LifeSign> state = new CompletableFuture<>();
-    private final TargetLife process = lostAtNanos -> state;
+    private CompletableFuture<TargetProcessState> state = new CompletableFuture<>();
+    private final TargetProcess process = lostAtNanos -> state;
     private final CompletableFuture<Void> notified = new CompletableFuture<>();
     private final TargetCrashDetector detector = TargetCrashDetector.create(
             address -> process, quarantine, (service, delta) -> notified, time, EventSink.none());
@@ -29,33 +29,33 @@
         return Fingerprint.of(TargetFixtures.read(path, LONGEST_DECISION));
     }
 
-    private CompletableFuture<LifeSign> lose(String path) {
+    private CompletableFuture<TargetProcessState> lose(String path) {
         return lose(path, false);
     }
 
-    private CompletableFuture<LifeSign> lose(String path, boolean suspect) {
+    private CompletableFuture<TargetProcessState> lose(String path, boolean suspect) {
         return detector.onLost(target, detector.processOf(TargetFixtures.ADDRESS), new LostRun(request(path), suspect));
     }
 
     /** Guards against a caller who retries before the crash is known: the next node must learn of the crash first. */
     @Test
     void theNodesOfTheServiceAreNotifiedOfACrashFirst() {
-        CompletableFuture<LifeSign> decided = lose("/lists/poison");
-        state.complete(LifeSign.ENDED);
+        CompletableFuture<TargetProcessState> decided = lose("/lists/poison");
+        state.complete(TargetProcessState.ENDED);
         time.advance(Duration.ofMillis(30));
         assertThat(verdict("/lists/poison")).isEqualTo(Verdict.ALONE);
         assertThat(decided).isNotDone();
         notified.complete(null);
-        assertThat(decided).isCompletedWithValue(LifeSign.ENDED);
+        assertThat(decided).isCompletedWithValue(TargetProcessState.ENDED);
     }
 
     /** Guards against a caller who waits forever: a node may never acknowledge the notification. */
     @Test
     void theWaitForNotificationsIsBounded() {
-        CompletableFuture<LifeSign> decided = lose("/lists/poison");
-        state.complete(LifeSign.ENDED);
+        CompletableFuture<TargetProcessState> decided = lose("/lists/poison");
+        state.complete(TargetProcessState.ENDED);
         time.advance(LONGEST_DECISION);
-        assertThat(decided).isCompletedWithValue(LifeSign.ENDED);
+        assertThat(decided).isCompletedWithValue(TargetProcessState.ENDED);
     }
 
     private Verdict verdict(String path) {
@@ -64,9 +64,9 @@
 
     @Test
     void requestsInFlightAtTheEndOfAProcessAreSuspects() {
-        CompletableFuture<LifeSign> decided = lose("/lists/poison");
+        CompletableFuture<TargetProcessState> decided = lose("/lists/poison");
         lose("/lists/1");
-        state.complete(LifeSign.ENDED);
+        state.complete(TargetProcessState.ENDED);
         time.advance(LONGEST_DECISION);
         assertThat(decided).isCompleted();
         assertThat(verdict("/lists/poison")).isEqualTo(Verdict.ALONE);
@@ -75,8 +75,8 @@
 
     @Test
     void aLostConnectionMakesNoSuspect() {
-        CompletableFuture<LifeSign> decided = lose("/lists/1");
-        state.complete(LifeSign.GOES_ON);
+        CompletableFuture<TargetProcessState> decided = lose("/lists/1");
+        state.complete(TargetProcessState.GOES_ON);
         time.advance(LONGEST_DECISION);
         assertThat(decided).isCompleted();
         assertThat(verdict("/lists/1")).isEqualTo(Verdict.FREE);
@@ -85,11 +85,11 @@
     /** Guards against a caller who waits forever: a target may neither accept nor refuse a connection. */
     @Test
     void aProcessCheckWithoutEndIsDecidedInTime() {
-        CompletableFuture<LifeSign> decided = lose("/lists/poison");
+        CompletableFuture<TargetProcessState> decided = lose("/lists/poison");
         time.advance(LONGEST_DECISION);
         assertThat(decided).isCompleted();
         assertThat(verdict("/lists/poison")).isEqualTo(Verdict.ALONE);
-        state.complete(LifeSign.ENDED);
+        state.complete(TargetProcessState.ENDED);
         assertThat(quarantine.snapshot())
                 .singleElement()
                 .satisfies(request -> assertThat(request.crashes()).isEqualTo(1));
@@ -98,7 +98,7 @@
     /** Guards against a caller who waits forever: the process check itself may fail. */
     @Test
     void aProcessCheckThatFailsIsDecided() {
-        CompletableFuture<LifeSign> decided = lose("/lists/1");
+        CompletableFuture<TargetProcessState> decided = lose("/lists/1");
         state.completeExceptionally(new IllegalStateException("process check failed"));
         time.advance(LONGEST_DECISION);
         assertThat(decided).isCompleted();
@@ -107,7 +107,7 @@
     /** Guards against a refused start page: a loss that is noticed late is not the loss of the suspect's run. */
     @Test
     void aLossThatIsNoticedLateConvictsNoRequest() {
-        state = CompletableFuture.completedFuture(LifeSign.ENDED);
+        state = CompletableFuture.completedFuture(TargetProcessState.ENDED);
         lose("/lists/start");
         time.advance(LONGEST_DECISION);
         assertThat(quarantine.start(request("/lists/start"), false)).isEqualTo(Verdict.ALONE);
@@ -121,8 +121,8 @@
     /** Guards against a lasting verdict: an unconfirmed crash must not refuse or delay a request for long. */
     @Test
     void anUnconfirmedEndExpiresSoon() {
-        CompletableFuture<LifeSign> decided = lose("/lists/1");
-        state.complete(LifeSign.UNKNOWN);
+        CompletableFuture<TargetProcessState> decided = lose("/lists/1");
+        state.complete(TargetProcessState.UNKNOWN);
         time.advance(LONGEST_DECISION);
         assertThat(decided).isCompleted();
         assertThat(verdict("/lists/1")).isEqualTo(Verdict.ALONE);
@@ -136,7 +136,7 @@
         for (int crash = 0; crash < 2; crash++) {
             Verdict verdict = quarantine.start(request("/lists/poison"), false);
             assertThat(verdict).isEqualTo(crash == 0 ? Verdict.FREE : Verdict.ALONE);
-            state = CompletableFuture.completedFuture(LifeSign.ENDED);
+            state = CompletableFuture.completedFuture(TargetProcessState.ENDED);
             lose("/lists/poison", verdict == Verdict.ALONE);
             time.advance(LONGEST_DECISION);
         }
--- a/src/test/java/io/beryldock/forwarding/TargetExecutorTest.java
+++ b/src/test/java/io/beryldock/forwarding/TargetExecutorTest.java
@@ -31,7 +31,7 @@
     private final Quarantine quarantine = TargetFixtures.quarantine(time);
     private final AnnouncedTarget target = TargetFixtures.target(time);
     private final Deque<CompletableFuture<TargetReply>> sent = new ArrayDeque<>();
-    private final LifeSign state = LifeSign.ENDED;
+    private final TargetProcessState state = TargetProcessState.ENDED;
     private final TargetCrashDetector crashes = TargetCrashDetector.create(
             address -> lostAtNanos -> CompletableFuture.completedFuture(state),
             quarantine,
--- a/src/test/java/io/beryldock/http/ForwardResourceTest.java
+++ b/src/test/java/io/beryldock/http/ForwardResourceTest.java
@@ -43,7 +43,7 @@
         };
         server = NodeHttpServer.start(
                 settings(),
-                new HttpPorts(
+                new HttpHandlers(
                         (request, scope) -> CompletableFuture.completedFuture(new RequestOutcome(id, result)),
                         announcement -> {},
                         () -> CompletableFuture.completedFuture(Optional.empty()),
--- a/src/test/java/io/beryldock/http/ConnectedTargetLivesTest.java
+++ b/src/test/java/io/beryldock/http/TargetConnectionMonitorTest.java
@@ -3,8 +3,8 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.beryldock.forwarding.LifeSign;
-import io.beryldock.forwarding.TargetLife;
+import io.beryldock.forwarding.TargetProcess;
+import io.beryldock.forwarding.TargetProcessState;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class ConnectedTargetLivesTest {
+class TargetConnectionMonitorTest {
 
-    private final ConnectedTargetLives monitor = ConnectedTargetLives.create(new TcpTargetProbe());
+    private final TargetConnectionMonitor monitor = TargetConnectionMonitor.create(new TcpTargetProbe());
     private final List<Socket> accepted = new ArrayList<>();
     private ServerSocket listener;
 
@@ -43,50 +43,50 @@
         }
     }
 
-    private static LifeSign check(TargetLife process) {
-        return process.look(0).join();
+    private static TargetProcessState check(TargetProcess process) {
+        return process.checkState(0).join();
     }
 
     @Test
     void reportsGoesOnWhileTheTargetKeepsListening() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife process = monitor.current(target);
+        TargetProcess process = monitor.current(target);
         accepted.add(listener.accept());
-        assertThat(check(process)).isEqualTo(LifeSign.GOES_ON);
+        assertThat(check(process)).isEqualTo(TargetProcessState.GOES_ON);
         assertThat(monitor.current(target)).isSameAs(process);
     }
 
     @Test
     void reportsEndedIfTheTargetRefusesConnections() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife process = monitor.current(target);
+        TargetProcess process = monitor.current(target);
         accepted.add(listener.accept());
         endProcess();
-        assertThat(check(process)).isEqualTo(LifeSign.ENDED);
+        assertThat(check(process)).isEqualTo(TargetProcessState.ENDED);
     }
 
     /** Guards against an undetected crash: the target is restarted and listens again before the check. */
     @Test
     void reportsEndedIfTheTargetWasRestartedImmediately() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife process = monitor.current(target);
+        TargetProcess process = monitor.current(target);
         accepted.add(listener.accept());
         endProcess();
         listen(target.getPort());
-        assertThat(check(process)).isEqualTo(LifeSign.ENDED);
-        TargetLife current = monitor.current(target);
+        assertThat(check(process)).isEqualTo(TargetProcessState.ENDED);
+        TargetProcess current = monitor.current(target);
         assertThat(current).isNotSameAs(process);
-        assertThat(check(current)).isEqualTo(LifeSign.GOES_ON);
+        assertThat(check(current)).isEqualTo(TargetProcessState.GOES_ON);
     }
 
     /** Guards against an undetected crash of a process that ends before it accepts the idle connection. */
     @Test
     void reportsEndedIfTheConnectionWasNeverAcceptedBeforeTheRestart() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife process = monitor.current(target);
+        TargetProcess process = monitor.current(target);
         endProcess();
         listen(target.getPort());
-        assertThat(check(process)).isEqualTo(LifeSign.ENDED);
+        assertThat(check(process)).isEqualTo(TargetProcessState.ENDED);
     }
 
     /**
@@ -96,13 +96,13 @@
     @Test
     void reconnectsIfTheTargetClosesTheIdleConnection() throws IOException {
         InetSocketAddress target = listen(0);
-        TargetLife process = monitor.current(target);
+        TargetProcess process = monitor.current(target);
         Socket idle = listener.accept();
         idle.getOutputStream().write("HTTP/1.1 408 Request Timeout\r\n\r\n".getBytes(UTF_8));
         idle.close();
-        TargetLife current = monitor.current(target);
+        TargetProcess current = monitor.current(target);
         assertThat(current).isNotSameAs(process);
-        assertThat(check(current)).isEqualTo(LifeSign.GOES_ON);
+        assertThat(check(current)).isEqualTo(TargetProcessState.GOES_ON);
     }
 
     /** Guards against a false report of an end if no connection was established at the start of the exchange. */
@@ -110,17 +110,17 @@
     void reportsUnknownIfNoConnectionWasEstablished() throws IOException {
         InetSocketAddress target = listen(0);
         listener.close();
-        TargetLife process = monitor.current(target);
-        assertThat(check(process)).isEqualTo(LifeSign.ENDED);
+        TargetProcess process = monitor.current(target);
+        assertThat(check(process)).isEqualTo(TargetProcessState.ENDED);
         listen(target.getPort());
-        assertThat(check(process)).isEqualTo(LifeSign.UNKNOWN);
+        assertThat(check(process)).isEqualTo(TargetProcessState.UNKNOWN);
     }
 
     @Test
     void reportsUnknownAfterClose() throws IOException {
         InetSocketAddress target = listen(0);
         monitor.close();
-        CompletableFuture<LifeSign> sign = monitor.current(target).look(0);
-        assertThat(sign.join()).isEqualTo(LifeSign.UNKNOWN);
+        CompletableFuture<TargetProcessState> sign = monitor.current(target).checkState(0);
+        assertThat(sign.join()).isEqualTo(TargetProcessState.UNKNOWN);
     }
 }
--- a/src/test/java/io/beryldock/idempotency/RunGuardTest.java
+++ b/src/test/java/io/beryldock/idempotency/RunGuardTest.java
@@ -79,8 +79,8 @@
         run(call);
         runs.get(0).complete(CallResult.unknown(Reason.TIMED_OUT, ""));
         CallResult answer = KeyedFixtures.answer("late");
-        guard.lateAnswer(call, answer);
-        guard.lateAnswer(call, KeyedFixtures.answer("another"));
+        guard.recordLateAnswer(call, answer);
+        guard.recordLateAnswer(call, KeyedFixtures.answer("another"));
         assertThat(run(call).join()).isEqualTo(answer);
     }
 
--- a/src/test/java/io/beryldock/membership/RegistryMembershipTest.java
+++ b/src/test/java/io/beryldock/membership/RegistryMembershipTest.java
@@ -72,7 +72,7 @@
     void targetsAreRetainedWhileEntriesLapse() {
         run(Duration.ofSeconds(1));
         secondView.setDown(true);
-        registry.lapse();
+        registry.expireLeases();
         run(Duration.ofSeconds(5));
         assertThat(targetsAt(first)).isEqualTo(2);
     }
@@ -86,7 +86,7 @@
         run(Duration.ofSeconds(1));
         firstView.setDown(true);
         secondView.setDown(true);
-        registry.lapse();
+        registry.expireLeases();
         run(Duration.ofSeconds(30));
         firstView.setDown(false);
         secondView.setDown(false);
@@ -115,7 +115,7 @@
     void lapsedEntryOfDeadNodeIsRemovedAfterRetention() {
         run(Duration.ofSeconds(1));
         secondView.setDown(true);
-        registry.lapse();
+        registry.expireLeases();
         run(RegistryMembership.LAPSED_ENTRY_RETENTION.plusSeconds(2));
         assertThat(targetsAt(first)).isEqualTo(1);
     }
@@ -124,7 +124,7 @@
     void lapsedEntryOfUnresponsiveNodeIsRemovedImmediately() {
         run(Duration.ofSeconds(1));
         secondView.setDown(true);
-        registry.lapse();
+        registry.expireLeases();
         run(Duration.ofSeconds(1));
         first.hintUnreachable(NodeId.of("n2"));
         run(Duration.ofSeconds(1));
@@ -204,7 +204,7 @@
     void recordLostByStoreIsWrittenAgainWithinTwoSeconds() {
         FakeRegistry.Copy empty = registry.copy();
         run(Duration.ofSeconds(4));
-        registry.comeBackFrom(empty);
+        registry.restoreFrom(empty);
         run(Duration.ofSeconds(2));
         assertThat(registry.holds(RegistryMembership.PREFIX + "n1")).isTrue();
         assertThat(registry.holds(RegistryMembership.PREFIX + "n2")).isTrue();
@@ -223,7 +223,7 @@
         FakeRegistry.Copy ready = registry.copy();
         second.announce(LISTS, 8, TargetState.LEAVING);
         run(Duration.ofSeconds(1));
-        registry.comeBackFrom(ready);
+        registry.restoreFrom(ready);
         run(Duration.ofSeconds(2));
         RegistryMembership third = membership("n3", 3, registry.view());
         run(Duration.ofSeconds(1));
@@ -234,7 +234,7 @@
     @Test
     void recordPresentInRestoredStoreIsNotWrittenAgain() {
         run(Duration.ofSeconds(4));
-        registry.comeBackFrom(registry.copy());
+        registry.restoreFrom(registry.copy());
         StoreRevision before =
                 registry.copy().items().get(RegistryMembership.PREFIX + "n1").revision();
         run(Duration.ofSeconds(4));
@@ -249,7 +249,7 @@
         FakeRegistry.Copy copy = registry.copy();
         second.leave();
         run(Duration.ofSeconds(1));
-        registry.comeBackFrom(copy);
+        registry.restoreFrom(copy);
         run(Duration.ofSeconds(1));
         assertThat(first.directory().node(NodeId.of("n2"))).isEmpty();
     }
@@ -265,7 +265,7 @@
         second.announce(LISTS, 8, TargetState.LEAVING);
         run(Duration.ofSeconds(1));
         secondView.setDown(true);
-        registry.comeBackFrom(copy);
+        registry.restoreFrom(copy);
         run(Duration.ofSeconds(3));
         assertThat(targetsAt(first)).isEqualTo(1);
     }
@@ -283,7 +283,7 @@
         membership("n3", 2, thirdView);
         run(Duration.ofSeconds(4));
         thirdView.setDown(true);
-        registry.comeBackFrom(copy);
+        registry.restoreFrom(copy);
         run(Duration.ofSeconds(3));
         assertThat(first.directory().node(NodeId.of("n3"))).isPresent();
     }
--- a/src/test/java/io/beryldock/organisation/OrganisationTableTest.java
+++ b/src/test/java/io/beryldock/organisation/OrganisationTableTest.java
@@ -14,17 +14,17 @@
     private static final Organisation UNRANKED = organisation("unranked", OptionalInt.empty());
 
     private static Organisation organisation(String name, OptionalInt rank) {
-        return new Organisation(OrganisationName.of(name), rank, Quota.none());
+        return new Organisation(OrganisationName.of(name), rank, Quota.unlimited());
     }
 
     @Test
     void everyKeyLeadsToItsOrganisation() {
         OrganisationTable table = OrganisationTable.of(Map.of(FIRST, List.of("a", "b"), USUAL, List.of("c")));
-        assertThat(table.holderOf("a")).contains(FIRST);
-        assertThat(table.holderOf("b")).contains(FIRST);
-        assertThat(table.holderOf("c")).contains(USUAL);
-        assertThat(table.holderOf("")).isEmpty();
-        assertThat(table.holderOf("A")).isEmpty();
+        assertThat(table.findByKey("a")).contains(FIRST);
+        assertThat(table.findByKey("b")).contains(FIRST);
+        assertThat(table.findByKey("c")).contains(USUAL);
+        assertThat(table.findByKey("")).isEmpty();
+        assertThat(table.findByKey("A")).isEmpty();
     }
 
     /**
@@ -34,8 +34,8 @@
     @Test
     void keyOfTwoOrganisationsIsRejected() {
         OrganisationTable table = OrganisationTable.of(Map.of(FIRST, List.of("a", "x"), USUAL, List.of("x")));
-        assertThat(table.holderOf("x")).isEmpty();
-        assertThat(table.holderOf("a")).contains(FIRST);
+        assertThat(table.findByKey("x")).isEmpty();
+        assertThat(table.findByKey("a")).contains(FIRST);
     }
 
     @Test
--- a/src/test/java/io/beryldock/peer/ClockedPeerTransportTest.java
+++ b/src/test/java/io/beryldock/peer/ClockedPeerTransportTest.java
@@ -38,7 +38,7 @@
     void eventsAfterAReceivedMessageAreLaterThanEventsBeforeItWasSent() {
         List<ByteString> bodies = new ArrayList<>();
         List<HlcTime> times = new ArrayList<>();
-        receiver.handle(PeerTopic.CALL, message -> {
+        receiver.registerHandler(PeerTopic.CALL, message -> {
             bodies.add(message.body());
             times.add(behind.now());
             message.reply(message.body());
@@ -53,7 +53,7 @@
 
     @Test
     void failuresAndCancellationsArePassedOnUnchanged() {
-        receiver.handle(PeerTopic.CALL, message -> {});
+        receiver.registerHandler(PeerTopic.CALL, message -> {});
         PeerException failure = new PeerException(PeerException.Kind.NOT_SENT, "refused");
         CompletableFuture<ByteString> failed = request();
         List<Throwable> seen = new ArrayList<>();
@@ -67,7 +67,7 @@
     @Test
     void aMessageWithoutATimeIsDropped() {
         List<ByteString> bodies = new ArrayList<>();
-        receiver.handle(PeerTopic.CALL, message -> bodies.add(message.body()));
+        receiver.registerHandler(PeerTopic.CALL, message -> bodies.add(message.body()));
         transport.send(ADDRESS, PeerTopic.CALL, BODY);
         assertThat(bodies).isEmpty();
     }
@@ -92,7 +92,7 @@
         }
 
         @Override
-        public void handle(PeerTopic topic, PeerHandler registered) {
+        public void registerHandler(PeerTopic topic, PeerHandler registered) {
             handler = registered;
         }
     }
--- a/src/test/java/io/beryldock/peer/NettyPeerTransportTest.java
+++ b/src/test/java/io/beryldock/peer/NettyPeerTransportTest.java
@@ -52,7 +52,8 @@
     @Test
     void aOneWayMessageReachesItsHandler() {
         List<String> seen = Collections.synchronizedList(new ArrayList<>());
-        pair.b.handle(PeerTopic.MEMBERSHIP, message -> seen.add(message.body().toStringUtf8()));
+        pair.b.registerHandler(
+                PeerTopic.MEMBERSHIP, message -> seen.add(message.body().toStringUtf8()));
         pair.a.send(pair.relay.address(), PeerTopic.MEMBERSHIP, PeerPair.text("ping"));
         PeerPair.await(() -> seen.contains("ping"));
     }
@@ -81,7 +82,7 @@
 
     @Test
     void aTopicWithoutHandlerFailsAsNotSentAndAFailingHandlerAsLost() throws Exception {
-        pair.b.handle(PeerTopic.TICKETS, message -> {
+        pair.b.registerHandler(PeerTopic.TICKETS, message -> {
             throw new IllegalStateException("broken handler");
         });
         assertThat(PeerPair.failure(pair.request(PeerTopic.QUARANTINE, "x"))).isEqualTo(PeerException.Kind.NOT_SENT);
--- a/src/test/java/io/beryldock/peer/PeerConnectTest.java
+++ b/src/test/java/io/beryldock/peer/PeerConnectTest.java
@@ -51,7 +51,7 @@
         assertThat(failure(address)).isEqualTo(PeerException.Kind.NOT_SENT);
         try (NettyPeerTransport restarted = NettyPeerTransport.create(
                 PeerTransportSettings.insecure(address), PeerPair.identity("c"), pair.timers, pair.sink())) {
-            restarted.handle(PeerTopic.CALL, message -> message.reply(message.body()));
+            restarted.registerHandler(PeerTopic.CALL, message -> message.reply(message.body()));
             restarted.start();
             assertThat(failure(address)).isEqualTo(PeerException.Kind.NOT_SENT);
             pair.advance(LIMITS.backoffMin());
--- a/src/test/java/io/beryldock/peer/PeerPair.java
+++ b/src/test/java/io/beryldock/peer/PeerPair.java
@@ -50,8 +50,8 @@
             throws PeerStartException, IOException {
         a = transport("a", settingsOfA);
         b = transport("b", settingsOfB);
-        b.handle(PeerTopic.CALL, message -> message.reply(message.body()));
-        b.handle(PeerTopic.QUERY, held::add);
+        b.registerHandler(PeerTopic.CALL, message -> message.reply(message.body()));
+        b.registerHandler(PeerTopic.QUERY, held::add);
         a.start();
         b.start();
         relay = FaultyRelay.start(b.localAddress());
--- a/src/test/java/io/beryldock/peer/PeerRoundTripBenchmark.java
+++ b/src/test/java/io/beryldock/peer/PeerRoundTripBenchmark.java
@@ -52,7 +52,7 @@
         try (ThreadTimerService timers = ThreadTimerService.start("timer", Runnable::run);
                 NettyPeerTransport a = transport(settings, "a", timers);
                 NettyPeerTransport b = transport(settings, "b", timers)) {
-            b.handle(PeerTopic.CALL, message -> message.reply(message.body()));
+            b.registerHandler(PeerTopic.CALL, message -> message.reply(message.body()));
             a.start();
             b.start();
             run(a, b, body, concurrency, time);
--- a/src/test/java/io/beryldock/peer/PeerTransportRandomFaultsTest.java
+++ b/src/test/java/io/beryldock/peer/PeerTransportRandomFaultsTest.java
@@ -36,7 +36,7 @@
     void outcomesAreCorrectUnderRandomFaults(long seed) throws Exception {
         Random random = new Random(seed);
         try (PeerPair pair = PeerPair.start()) {
-            pair.b.handle(PeerTopic.TICKETS, message -> run(message, pair));
+            pair.b.registerHandler(PeerTopic.TICKETS, message -> run(message, pair));
             for (int i = 0; i < STEPS; i++) {
                 step(pair, random, "seed " + seed + " request " + i);
             }
--- a/src/test/java/io/beryldock/peer/SilentConnectionTest.java
+++ b/src/test/java/io/beryldock/peer/SilentConnectionTest.java
@@ -194,7 +194,7 @@
     @Test
     void oneWayMessagesOnADeadConnectionMoveToANewOneWithinTheLimit() throws Exception {
         AtomicInteger seen = new AtomicInteger();
-        pair.b.handle(PeerTopic.MEMBERSHIP, message -> seen.incrementAndGet());
+        pair.b.registerHandler(PeerTopic.MEMBERSHIP, message -> seen.incrementAndGet());
         sendNotice();
         PeerPair.await(() -> seen.get() == 1);
         pair.relay.setForwardFault(Fault.LOSE);
--- a/src/test/java/io/beryldock/platform/OperatorDocumentTest.java
+++ b/src/test/java/io/beryldock/platform/OperatorDocumentTest.java
@@ -123,11 +123,11 @@
     void organisationsAreDecodedWithKeysAndQuotas() throws ConfigurationException {
         OrganisationTable table =
                 decoder.decode(ByteString.copyFromUtf8(WITH_ORGANISATIONS)).organisations();
-        Organisation first = table.holderOf("k2").orElseThrow();
+        Organisation first = table.findByKey("k2").orElseThrow();
         assertThat(first.name()).isEqualTo(OrganisationName.of("first"));
         assertThat(first.quota()).isEqualTo(new Quota(28.5, 57));
-        assertThat(table.holderOf("k3").orElseThrow().quota().isUnlimited()).isTrue();
-        assertThat(table.named(OrganisationName.of("unlimited"))
+        assertThat(table.findByKey("k3").orElseThrow().quota().isUnlimited()).isTrue();
+        assertThat(table.findByName(OrganisationName.of("unlimited"))
                         .orElseThrow()
                         .quota()
                         .isUnlimited())
@@ -152,8 +152,8 @@
         Configuration configuration = decoder.decode(ByteString.copyFromUtf8(WITH_ORGANISATIONS));
         Route browse = configuration.find("a.example", "GET", "/x/1").orElseThrow();
         Route order = configuration.find("a.example", "POST", "/y/1").orElseThrow();
-        Optional<Organisation> first = configuration.organisations().holderOf("k1");
-        Optional<Organisation> usual = configuration.organisations().holderOf("k3");
+        Optional<Organisation> first = configuration.organisations().findByKey("k1");
+        Optional<Organisation> usual = configuration.organisations().findByKey("k3");
         assertThat(List.of(
                         configuration.priorityOf(order, first).rank(),
                         configuration.priorityOf(browse, first).rank(),
--- a/src/test/java/io/beryldock/quota/QuotaFleet.java
+++ b/src/test/java/io/beryldock/quota/QuotaFleet.java
@@ -36,7 +36,7 @@
         this.random = new Random(seed);
     }
 
-    private record Member(String centre, QuotaKeeper limiter) {}
+    private record Member(String centre, QuotaLimiter limiter) {}
 
     /** A request that was admitted or refused. */
     record Outcome(long at, boolean granted) {}
@@ -49,8 +49,8 @@
         }
     }
 
-    private QuotaKeeper limiter(NodeId id, String centre) {
-        return QuotaKeeper.create(new QuotaKeeper.Ports(
+    private QuotaLimiter limiter(NodeId id, String centre) {
+        return QuotaLimiter.create(new QuotaLimiter.Ports(
                 TERMS, new Peers(id, centre), () -> organisations, timers.ticker(), new Random(id.hashCode())));
     }
 
--- a/src/test/java/io/beryldock/quota/QuotaKeeperTest.java
+++ b/src/test/java/io/beryldock/quota/QuotaLimiterTest.java
@@ -23,7 +23,7 @@
 /**
  * Fleet of 61 nodes in three data centres, with a few large and many small organisations whose clients use few nodes.
  */
-final class QuotaKeeperTest {
+final class QuotaLimiterTest {
 
     private static final int NODES = 61;
     private static final Duration STEP = Duration.ofMillis(5);
@@ -205,7 +205,7 @@
     @Test
     void organisationWithoutAQuotaIsNeverRefused() {
         fleet.start(3);
-        Organisation free = new Organisation(OrganisationName.of("free"), OptionalInt.empty(), Quota.none());
+        Organisation free = new Organisation(OrganisationName.of("free"), OptionalInt.empty(), Quota.unlimited());
         List<Outcome> organisationOutcomes = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
             fleet.request(fleet.nodes().get(0), free, organisationOutcomes);
--- a/src/test/java/io/beryldock/retry/RetryBenchmark.java
+++ b/src/test/java/io/beryldock/retry/RetryBenchmark.java
@@ -36,7 +36,7 @@
     private final RetryBudgets budgets =
             RetryBudgets.create(Ticker.system(), service -> RetryBudgetSettings.defaults());
     private final RetryGate gate = RetryGate.create(RetryPolicy.create(), EventSink.none());
-    private final RetryQuestion refused = new RetryQuestion(
+    private final EndedAttempt refused = new EndedAttempt(
             CallResult.notRun(Reason.SHED_AT_TARGET, ""), true, 1, 1, 3, 1_000_000_000L, 1_000_000L, 0, false);
 
     /** Cost for each run of a target: opens an account, grants twice, settles both grants and closes the account. */
@@ -58,7 +58,7 @@
     @Benchmark
     public RetryDecision askForARetry() {
         RetryAccount account = ledger.open(ids.next(), 4);
-        RetryDecision decision = gate.ask(refused, account, budgets.of(CALLER, CALLEE));
+        RetryDecision decision = gate.decide(refused, account, budgets.of(CALLER, CALLEE));
         account.close();
         return decision;
     }
--- a/src/test/java/io/beryldock/retry/RetryGateTest.java
+++ b/src/test/java/io/beryldock/retry/RetryGateTest.java
@@ -32,10 +32,10 @@
     private final Random random = new Random(7);
 
     private boolean isRetriedElsewhere(CallResult refusal, RetryBudget budget) {
-        RetryQuestion question = new RetryQuestion(
+        EndedAttempt question = new EndedAttempt(
                 refusal, true, 1, 1, TARGETS - 1, Duration.ofSeconds(1).toNanos(), 0, 0, false);
         RetryAccount account = ledger.open(ids.next(), 1);
-        boolean retried = gate.ask(question, account, budget).isRetry();
+        boolean retried = gate.decide(question, account, budget).isRetry();
         account.close();
         return retried;
     }
@@ -101,7 +101,7 @@
     @Test
     void allowanceOfTheRequestStillLimitsRetries() {
         RetryAccount account = ledger.open(ids.next(), 1);
-        RetryQuestion question = new RetryQuestion(
+        EndedAttempt question = new EndedAttempt(
                 CallResult.notRun(Reason.SHED_AT_TARGET, ""),
                 true,
                 1,
@@ -112,7 +112,7 @@
                 0,
                 false);
         RetryBudget budget = budgets().get(0);
-        assertThat(gate.ask(question, account, budget)).isEqualTo(RetryDecision.RETRY_ELSEWHERE);
-        assertThat(gate.ask(question, account, budget)).isEqualTo(RetryDecision.STOP_ALLOWANCE_SPENT);
+        assertThat(gate.decide(question, account, budget)).isEqualTo(RetryDecision.RETRY_ELSEWHERE);
+        assertThat(gate.decide(question, account, budget)).isEqualTo(RetryDecision.STOP_ALLOWANCE_SPENT);
     }
 }
--- a/src/test/java/io/beryldock/retry/RetryPolicyTest.java
+++ b/src/test/java/io/beryldock/retry/RetryPolicyTest.java
@@ -28,8 +28,8 @@
 
     private final RetryPolicy policy = RetryPolicy.create();
 
-    private static RetryQuestion question(CallResult result, boolean idempotent) {
-        return new RetryQuestion(result, idempotent, 1, 0, 3, SECOND, SECOND / 10, 0, false);
+    private static EndedAttempt question(CallResult result, boolean idempotent) {
+        return new EndedAttempt(result, idempotent, 1, 0, 3, SECOND, SECOND / 10, 0, false);
     }
 
     /**
@@ -70,16 +70,16 @@
     @Test
     void stopsWithoutTimeOrTargetsForAFullServiceAndForSuspects() {
         CallResult shed = CallResult.notRun(Reason.SHED_AT_TARGET, "");
-        assertThat(policy.decide(new RetryQuestion(shed, true, 1, 1, 3, SECOND / 20, SECOND / 10, 0, false)))
+        assertThat(policy.decide(new EndedAttempt(shed, true, 1, 1, 3, SECOND / 20, SECOND / 10, 0, false)))
                 .isEqualTo(RetryDecision.STOP_NO_TIME);
-        assertThat(policy.decide(new RetryQuestion(shed, true, 1, 1, 0, SECOND, 0, 0, false)))
+        assertThat(policy.decide(new EndedAttempt(shed, true, 1, 1, 0, SECOND, 0, 0, false)))
                 .isEqualTo(RetryDecision.STOP_NO_OTHER_TARGET);
-        assertThat(policy.decide(new RetryQuestion(shed, true, 2, 2, 3, SECOND, 0, 0, false)))
+        assertThat(policy.decide(new EndedAttempt(shed, true, 2, 2, 3, SECOND, 0, 0, false)))
                 .isEqualTo(RetryDecision.STOP_SERVICE_FULL);
         CallResult lost = CallResult.unknown(Reason.CONNECTION_LOST, "");
-        assertThat(policy.decide(new RetryQuestion(lost, true, 1, 1, 3, SECOND, 0, 0, true)))
+        assertThat(policy.decide(new EndedAttempt(lost, true, 1, 1, 3, SECOND, 0, 0, true)))
                 .isEqualTo(RetryDecision.STOP_SUSPECT);
-        assertThat(policy.decide(new RetryQuestion(shed, true, 1, 1, 3, SECOND, 0, 0, true)))
+        assertThat(policy.decide(new EndedAttempt(shed, true, 1, 1, 3, SECOND, 0, 0, true)))
                 .isEqualTo(RetryDecision.RETRY_ELSEWHERE);
         CallResult answer = CallResult.answered(new Answer(503, Headers.empty(), ByteString.EMPTY));
         assertThat(answer.outcome()).isEqualTo(Outcome.ANSWERED);
@@ -93,17 +93,17 @@
         RetryLedger ledger = RetryLedger.create();
         RequestIds ids = RequestIds.of(Incarnation.random(new Random(1)));
         RetryBudget budget = TokenRetryBudget.create(time.ticker(), RetryBudgetSettings.defaults());
-        RetryQuestion refused = question(CallResult.notRun(Reason.TARGET_REFUSED, ""), true);
+        EndedAttempt refused = question(CallResult.notRun(Reason.TARGET_REFUSED, ""), true);
         RetryAccount empty = ledger.open(ids.next(), 0);
-        assertThat(gate.ask(refused, empty, budget)).isEqualTo(RetryDecision.STOP_ALLOWANCE_SPENT);
+        assertThat(gate.decide(refused, empty, budget)).isEqualTo(RetryDecision.STOP_ALLOWANCE_SPENT);
         assertThat(budget.available()).isEqualTo(2);
         RetryAccount account = ledger.open(ids.next(), 4);
-        assertThat(gate.ask(refused, account, budget)).isEqualTo(RetryDecision.RETRY_ELSEWHERE);
-        assertThat(gate.ask(refused, account, budget)).isEqualTo(RetryDecision.RETRY_ELSEWHERE);
-        assertThat(gate.ask(refused, account, budget)).isEqualTo(RetryDecision.STOP_BUDGET_SPENT);
+        assertThat(gate.decide(refused, account, budget)).isEqualTo(RetryDecision.RETRY_ELSEWHERE);
+        assertThat(gate.decide(refused, account, budget)).isEqualTo(RetryDecision.RETRY_ELSEWHERE);
+        assertThat(gate.decide(refused, account, budget)).isEqualTo(RetryDecision.STOP_BUDGET_SPENT);
         assertThat(account.state().held()).isEqualTo(2);
-        RetryQuestion leaving = question(CallResult.notRun(Reason.DRAINING, ""), true);
-        assertThat(gate.ask(leaving, account, budget)).isEqualTo(RetryDecision.RETRY_ELSEWHERE);
+        EndedAttempt leaving = question(CallResult.notRun(Reason.DRAINING, ""), true);
+        assertThat(gate.decide(leaving, account, budget)).isEqualTo(RetryDecision.RETRY_ELSEWHERE);
     }
 
     /**
@@ -179,8 +179,8 @@
         assertThat(policy.decide(question(freeSlots, 2))).isEqualTo(RetryDecision.STOP_SERVICE_FULL);
     }
 
-    private static RetryQuestion question(CallResult result, int tries) {
-        return new RetryQuestion(result, true, tries, 2, 3, SECOND, 0, 0, false);
+    private static EndedAttempt question(CallResult result, int tries) {
+        return new EndedAttempt(result, true, tries, 2, 3, SECOND, 0, 0, false);
     }
 
     /**
--- a/src/test/java/io/beryldock/retry/WindowRetryBudgetTest.java
+++ b/src/test/java/io/beryldock/retry/WindowRetryBudgetTest.java
@@ -26,7 +26,7 @@
     private final Random random = new Random(11);
 
     private WindowRetryBudget budget(int floor) {
-        return WindowRetryBudget.create(timers.ticker(), new WindowRetryBudget.Terms(SHARE, floor, WINDOW));
+        return WindowRetryBudget.create(timers.ticker(), new WindowRetryBudget.Limits(SHARE, floor, WINDOW));
     }
 
     @Test
@@ -85,7 +85,7 @@
     void limitHoldsInEachWindowOverAllNodes() {
         List<WindowRetryBudget> nodes = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            nodes.add(WindowRetryBudget.create(timers.ticker(), new WindowRetryBudget.Terms(0.9 * SHARE, 0, WINDOW)));
+            nodes.add(WindowRetryBudget.create(timers.ticker(), new WindowRetryBudget.Limits(0.9 * SHARE, 0, WINDOW)));
         }
         int step = 50;
         int steps = (int) (3 * WINDOW.toMillis() / step);
--- a/src/test/java/io/beryldock/store/FakeRegistry.java
+++ b/src/test/java/io/beryldock/store/FakeRegistry.java
@@ -36,7 +36,7 @@
     }
 
     /** Ends all leases, as an outage that is longer than the leases does. */
-    public void lapse() {
+    public void expireLeases() {
         List<String> keys = leases.values().stream().flatMap(List::stream).toList();
         leases.clear();
         keys.forEach(this::remove);
@@ -59,7 +59,7 @@
     }
 
     /** Restores the copy, which loses all later changes; watches in progress fail. */
-    public void comeBackFrom(Copy copy) {
+    public void restoreFrom(Copy copy) {
         era++;
         items.clear();
         copy.items().forEach((key, item) -> items.put(key, withCurrentEra(item)));
@@ -150,7 +150,7 @@
             if (down) {
                 return CompletableFuture.failedFuture(new PlatformException("the store is down"));
             }
-            eras.note(era);
+            eras.observe(era);
             return CompletableFuture.completedFuture(value);
         }
 
@@ -223,7 +223,7 @@
                         .collect(ImmutableList.toImmutableList());
                 silenced |= silent;
                 if (!newChanges.isEmpty() && !down && !silenced && watches.remove(this)) {
-                    eras.note(era);
+                    eras.observe(era);
                     future.complete(new Changes(false, newChanges, currentRevision()));
                 }
             }
@@ -238,7 +238,7 @@
                 if (down || silenced) {
                     future.completeExceptionally(new PlatformException("the store is down"));
                 } else {
-                    eras.note(era);
+                    eras.observe(era);
                     future.complete(new Changes(false, ImmutableList.of(), currentRevision()));
                 }
             }
--- a/src/test/java/io/beryldock/store/SharingFleet.java
+++ b/src/test/java/io/beryldock/store/SharingFleet.java
@@ -109,7 +109,7 @@
         }
 
         @Override
-        public Optional<NodeId> elsewhere() {
+        public Optional<NodeId> randomRemoteNode() {
             List<NodeId> others = new ArrayList<>(members.keySet());
             others.removeAll(ownDataCentre());
             return others.isEmpty() ? Optional.empty() : Optional.of(others.get(random.nextInt(others.size())));
--- a/src/test/java/io/beryldock/store/StoreSharingTest.java
+++ b/src/test/java/io/beryldock/store/StoreSharingTest.java
@@ -222,7 +222,7 @@
         write("lost", "1");
         write("lost", "2");
         timers.advance(Duration.ofSeconds(1));
-        registry.comeBackFrom(copy);
+        registry.restoreFrom(copy);
         write("changed", "3");
         timers.advance(Duration.ofSeconds(2));
         assertThat(copies.values()).allSatisfy(found -> assertThat(found.values).isEqualTo(stored()));
@@ -236,7 +236,7 @@
         write("a", "1");
         timers.advance(Duration.ofSeconds(1));
         copies.keySet().forEach(id -> fleet.view(id).setDown(true));
-        registry.comeBackFrom(copy);
+        registry.restoreFrom(copy);
         write("a", "2");
         copies.keySet().forEach(id -> fleet.view(id).setDown(false));
         timers.advance(Duration.ofSeconds(3));
@@ -253,7 +253,7 @@
         timers.advance(Duration.ofSeconds(1));
         fleet.suspend(watcher, true);
         for (int i = 0; i < 3; i++) {
-            registry.comeBackFrom(copy);
+            registry.restoreFrom(copy);
             write("a", "new" + i);
             timers.advance(Duration.ofSeconds(4));
         }
@@ -268,7 +268,9 @@
         assertThat(allHold("a", "new2")).isTrue();
     }
 
-    /** After random changes, restores, suspensions and connection faults all nodes hold the same entries as the store. */
+    /**
+     * After random changes, restores, suspensions and connection faults all nodes hold the same entries as the store.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void allNodesConvergeAfterFaultsAndRestores(long seed) {
@@ -284,7 +286,7 @@
                 case 2 -> fleet.suspend(id, random.nextBoolean());
                 case 3 -> fleet.view(id).setDelay(() -> Duration.ofMillis(random.nextInt(900)));
                 case 4 -> copy = registry.copy();
-                case 5 -> registry.comeBackFrom(copy);
+                case 5 -> registry.restoreFrom(copy);
                 default -> write("k" + random.nextInt(10), "v" + step);
             }
             timers.advance(Duration.ofMillis(random.nextInt(800)));
--- a/src/test/java/io/beryldock/timeline/EventRingTest.java
+++ b/src/test/java/io/beryldock/timeline/EventRingTest.java
@@ -65,7 +65,9 @@
         });
     }
 
-    /** Guards against a refused request that can't be explained because its event is aggregated under another request. */
+    /**
+     * Guards against a refused request that can't be explained because its event is aggregated under another request.
+     */
     @Test
     void everyRecentRequestIsFoundAlthoughItsEventIsAggregated() {
         for (int i = 0; i < 200; i++) {
--- a/src/test/java/io/beryldock/waiting/ConcurrentRun.java
+++ b/src/test/java/io/beryldock/waiting/ConcurrentRun.java
@@ -39,7 +39,7 @@
                     entry.admit(new WaitingRequest(EntryFixture.BROWSE.tree(), claimant, i % 2 == 0, TIME, TIME, 10));
             pending.decision().thenRun(decided::incrementAndGet);
             if (i % 5 == 0) {
-                pending.leave();
+                pending.cancel();
             } else if (i % 2 == 0) {
                 giveBack(EntryFixture.BROWSE.tree(), claimant);
             }
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public boolean governs(TreeKey tree) {
+    public boolean requiresCredits(TreeKey tree) {
         return true;
     }
 
--- a/src/test/java/io/beryldock/waiting/EntryWaitingScheduleTest.java
+++ b/src/test/java/io/beryldock/waiting/EntryWaitingScheduleTest.java
@@ -47,7 +47,7 @@
             if (draw < 50) {
                 all.add(fixture.ask(any(KINDS), "organisation-" + random.nextInt(3)));
             } else if (draw < 60 && !all.isEmpty()) {
-                any(all).pending.leave();
+                any(all).pending.cancel();
             } else if (draw < 70 && !all.isEmpty()) {
                 TestCaller refusedCaller = any(all);
                 if (refusedCaller.refused()) {
--- a/src/test/java/io/beryldock/waiting/EntryWaitingTest.java
+++ b/src/test/java/io/beryldock/waiting/EntryWaitingTest.java
@@ -137,12 +137,12 @@
         fixture.credits.slots(1);
         TestCaller first = fixture.ask(BROWSE);
         TestCaller second = fixture.ask(BROWSE);
-        first.pending.leave();
+        first.pending.cancel();
         assertThat(first.decision.kind()).isEqualTo(EntryDecision.Kind.GONE);
         assertThat(fixture.entry.snapshot().waiting()).isEqualTo(1);
         fixture.credits.grantTrees(BROWSE.tree(), 1);
         assertThat(second.covered()).isTrue();
-        first.pending.leave();
+        first.pending.cancel();
         assertThat(fixture.timers.nextDue()).isEqualTo(Long.MAX_VALUE);
     }
 
--- a/src/test/java/io/beryldock/waiting/FakeCredits.java
+++ b/src/test/java/io/beryldock/waiting/FakeCredits.java
@@ -54,12 +54,12 @@
     }
 
     @Override
-    public boolean governs(TreeKey tree) {
+    public boolean requiresCredits(TreeKey tree) {
         return governing;
     }
 
     @Override
-    public void demand(TreeKey tree, Claimant claimant) {
+    public void recordDemand(TreeKey tree, Claimant claimant) {
         demands++;
     }
 
