--- a/src/main/java/io/beryldock/admission/EntryShedder.java
+++ b/src/main/java/io/beryldock/admission/EntryShedder.java
@@ -79,7 +79,7 @@
         if (level >= ServiceLevel.OPEN || CallerHash.position(rank, callerHash) < level || route.takeProbe(rank, now)) {
             return ShedDecision.admit();
         }
-        if (shedSampler.take(now)) {
+        if (shedSampler.shouldRecord(now)) {
             shedSampler.record(Optional.empty(), service.value(), "rank " + rank + " at level " + level);
         }
         return ShedDecision.shed(RetryAfter.millis(random));
--- a/src/main/java/io/beryldock/forwarding/TargetCrashDetector.java
+++ b/src/main/java/io/beryldock/forwarding/TargetCrashDetector.java
@@ -23,8 +23,8 @@
  * Distinguishes a crash of the target from the loss of a single connection.
  *
  * <p>Guards against a request that crashes each target that runs it: requests in flight at a crash must be recorded.
- * Lost exchanges are judged by the {@link TargetProcess} with which they began, so that a target that has restarted in the
- * meantime is not mistaken for one that never ended. Invariant: each loss is decided once, within a bounded time
+ * Lost exchanges are judged by the {@link TargetProcess} with which they began, so that a target that has restarted in
+ * the meantime is not mistaken for one that never ended. Invariant: each loss is decided once, within a bounded time
  * whatever the target does. Thread safe.
  */
 public final class TargetCrashDetector {
@@ -84,8 +84,8 @@
      *
      * @param process as {@link #processOf} returned it before the exchange began
      * @param run the request, and whether this run of it began as a suspect's
-     * @return completes when it is decided whether the target crashed, {@link TargetProcessState#ENDED}, and the nodes of the
-     *     service have been notified, so that a caller who resends the request at once meets the verdict
+     * @return completes when it is decided whether the target crashed, {@link TargetProcessState#ENDED}, and the nodes
+     *     of the service have been notified, so that a caller who resends the request at once meets the verdict
      */
     CompletableFuture<TargetProcessState> onLost(AnnouncedTarget target, TargetProcess process, LostRun run) {
         LostExchanges losses;
--- a/src/main/java/io/beryldock/node/NodeModule.java
+++ b/src/main/java/io/beryldock/node/NodeModule.java
@@ -9,9 +9,9 @@
 import io.beryldock.call.Incarnation;
 import io.beryldock.call.NodeId;
 import io.beryldock.call.RequestIds;
+import io.beryldock.configuration.ActiveConfiguration;
 import io.beryldock.configuration.Configuration;
 import io.beryldock.configuration.ConfigurationException;
-import io.beryldock.configuration.ConfigurationKeeper;
 import io.beryldock.configuration.ConfigurationSync;
 import io.beryldock.configuration.ConfigurationWriter;
 import io.beryldock.forwarding.Addresses;
@@ -44,10 +44,13 @@
 import java.time.InstantSource;
 import java.util.random.RandomGenerator;
 
-/** Binds the control parts of one node: view, configuration, decisions. The request path is in its own module. */
+/**
+ * Binds the control components of one node: membership view, configuration and decisions. {@link TrafficModule} binds
+ * the request path.
+ */
 final class NodeModule extends AbstractModule {
 
-    private static final int EVENTS_KEPT = 4096;
+    private static final int EVENT_CAPACITY = 4096;
     private static final Duration BACKOFF_BASE = Duration.ofMillis(5);
     private static final Duration BACKOFF_CAP = Duration.ofMillis(100);
 
@@ -80,7 +83,7 @@
                 NodeId.of(settings.id()),
                 DataCentre.of(settings.dataCentre()),
                 HybridLogicalClock.system(),
-                EVENTS_KEPT,
+                EVENT_CAPACITY,
                 randomGenerator());
     }
 
@@ -123,7 +126,7 @@
                 random,
                 events,
                 store);
-        peers.handle(
+        peers.registerHandler(
                 PeerTopic.MEMBERSHIP,
                 message -> control.execute(() -> service.onMessage(NodeId.of(message.sender()), message.body())));
         return service;
@@ -131,9 +134,9 @@
 
     @Provides
     @Singleton
-    ConfigurationKeeper configuration() throws SettingsException {
+    ActiveConfiguration configuration() throws SettingsException {
         try {
-            return ConfigurationKeeper.create(Configuration.defaults(settings.deployment()), events);
+            return ActiveConfiguration.create(Configuration.defaults(settings.deployment()), events);
         } catch (ConfigurationException e) {
             throw new SettingsException("deployment", "a known set of defaults", e.getMessage());
         }
@@ -142,7 +145,7 @@
     @Provides
     @Singleton
     ConfigurationSync configurationSync(
-            ConfigurationKeeper keeper, Membership membership, TimerService timers, RandomGenerator random) {
+            ActiveConfiguration keeper, Membership membership, TimerService timers, RandomGenerator random) {
         ConfigurationSync sync = ConfigurationSync.create(
                 self,
                 keeper,
@@ -155,7 +158,7 @@
                         control,
                         random,
                         events));
-        peers.handle(
+        peers.registerHandler(
                 PeerTopic.CONFIGURATION,
                 message -> control.execute(() -> sync.onMessage(NodeId.of(message.sender()), message.body())));
         return sync;
@@ -163,7 +166,7 @@
 
     @Provides
     @Singleton
-    ConfigurationWriter configurationWriter(ConfigurationKeeper keeper, TimerService timers, RandomGenerator random) {
+    ConfigurationWriter configurationWriter(ActiveConfiguration keeper, TimerService timers, RandomGenerator random) {
         return ConfigurationWriter.create(
                 store, keeper, new ConfigurationWriter.Ports(control, timers, InstantSource.system(), random, events));
     }
--- a/src/main/java/io/beryldock/node/NodeProcess.java
+++ b/src/main/java/io/beryldock/node/NodeProcess.java
@@ -6,7 +6,7 @@
 import io.beryldock.command.OperatorService;
 import io.beryldock.configuration.ConfigurationSync;
 import io.beryldock.forwarding.JoiningRequestHandler;
-import io.beryldock.http.HttpPorts;
+import io.beryldock.http.HttpHandlers;
 import io.beryldock.http.NodeHttpServer;
 import io.beryldock.http.OperatorAccess;
 import io.beryldock.http.OperatorServlet;
@@ -26,7 +26,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Starts nodes. Stateless. */
+/** Starts nodes with the product's own settings. Stateless. */
 public final class NodeProcess {
 
     private static final Duration STORE_TIMEOUT = Duration.ofSeconds(1);
@@ -35,15 +35,15 @@
 
     private NodeProcess() {}
 
-    /** Starts a node with threads of its own. */
+    /** Starts a node with its own threads. */
     public static RunningNode start(NodeSettings settings)
             throws SettingsException, PeerStartException, ServerStartException, InterruptedException {
         SharedResources shared =
                 SharedResources.start(OWN_IO_THREADS, settings.limits().connectionsToTarget());
-        return start(settings, shared).owning(shared);
+        return start(settings, shared).withOwned(shared);
     }
 
-    /** Starts a node on shared threads, as the demo does with dozens of nodes in one process. */
+    /** Starts a node on shared threads; the demo runs dozens of nodes in one process this way. */
     public static RunningNode start(NodeSettings settings, SharedResources shared)
             throws SettingsException, PeerStartException, ServerStartException, InterruptedException {
         NodeCore core = NodeCore.assemble(
@@ -64,11 +64,11 @@
         core.injector().getInstance(ConfigurationSync.class).start();
     }
 
-    private static HttpPorts httpPorts(NodeSettings settings, Injector injector, ControlLoop control)
+    private static HttpHandlers httpPorts(NodeSettings settings, Injector injector, ControlLoop control)
             throws SettingsException {
         TargetAnnouncements announcements = injector.getInstance(TargetAnnouncements.class);
         KeyedRequests keyed = injector.getInstance(KeyedRequests.class);
-        return new HttpPorts(
+        return new HttpHandlers(
                 injector.getInstance(JoiningRequestHandler.class),
                 announcement -> control.execute(() -> announcements.announce(announcement)),
                 () -> CompletableFuture.supplyAsync(() -> mint(keyed), control),
--- a/src/main/java/io/beryldock/node/TrafficModule.java
+++ b/src/main/java/io/beryldock/node/TrafficModule.java
@@ -10,7 +10,7 @@
 import io.beryldock.admission.TargetGate;
 import io.beryldock.call.NodeId;
 import io.beryldock.call.RequestIds;
-import io.beryldock.configuration.ConfigurationKeeper;
+import io.beryldock.configuration.ActiveConfiguration;
 import io.beryldock.credit.GateReporter;
 import io.beryldock.eventloop.LoopTimerService;
 import io.beryldock.forwarding.AnnouncedTarget;
@@ -33,8 +33,8 @@
 import io.beryldock.forwarding.TargetCrashDetector;
 import io.beryldock.forwarding.TargetExecutor;
 import io.beryldock.forwarding.TargetProcesses;
-import io.beryldock.http.ConnectedTargetLives;
 import io.beryldock.http.HttpTargetClient;
+import io.beryldock.http.TargetConnectionMonitor;
 import io.beryldock.http.TcpTargetProbe;
 import io.beryldock.idempotency.KeyedRequests;
 import io.beryldock.membership.Membership;
@@ -63,10 +63,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 
-/** Binds the request path of one node: entry, attempts, target. Its timers run on traffic threads. */
+/** Binds the request path of one node: entry, forwarding and execution. Its timers run on traffic threads. */
 final class TrafficModule extends AbstractModule {
 
-    /** Periods in which a caller's hash stays the same; a clock that is off moves one node's edge, no more. */
+    /**
+     * Length of the epochs in which a caller's hash is constant. An inaccurate clock only shifts the epoch boundary of
+     * its own node.
+     */
     private static final long EPOCH_MILLIS = TimeUnit.MINUTES.toMillis(10);
 
     private static final int BASELINE_QUEUE = 100_000;
@@ -94,7 +97,7 @@
         return settings.policy() == Policy.NONE ? baseline(settings) : GateSettings.defaults();
     }
 
-    /** What users have today: the target takes as many requests as there are connections to it. */
+    /** Baseline without admission control: the target runs as many requests as there are connections to it. */
     private static GateSettings baseline(NodeSettings settings) {
         int limit = settings.limits().connectionsToTarget();
         return new GateSettings(
@@ -112,7 +115,7 @@
                 BASELINE_WAIT);
     }
 
-    /** The gate decides on traffic threads, what the target announces on the control thread. */
+    /** Gates decide on traffic threads; announcements are handled on the control thread. */
     @Provides
     @Singleton
     TargetAnnouncements announcements(
@@ -142,14 +145,14 @@
     @Provides
     @Singleton
     TargetProcesses targetLives() {
-        return ConnectedTargetLives.create(new TcpTargetProbe());
+        return TargetConnectionMonitor.create(new TcpTargetProbe());
     }
 
     @Provides
     @Singleton
     TargetCrashDetector crashDetector(
-            TargetProcesses lives, Quarantine quarantine, QuarantineSpreader news, EventSink events) {
-        return TargetCrashDetector.create(lives, quarantine, news, timers, events);
+            TargetProcesses lives, Quarantine quarantine, QuarantineGossip gossip, EventSink events) {
+        return TargetCrashDetector.create(lives, quarantine, gossip, timers, events);
     }
 
     @Provides
@@ -176,7 +179,7 @@
                 reporter::onLoad,
                 timers,
                 events));
-        transport.handle(PeerTopic.CALL, PeerCallServer.create(executor));
+        transport.registerHandler(PeerTopic.CALL, PeerCallServer.create(executor));
         return executor;
     }
 
@@ -225,8 +228,8 @@
 
     @Provides
     @Singleton
-    KeyedRequestHandler keyed(KeyedRequests requests, HomeDispatcher dispatcher, DispatcherSlot slot) {
-        slot.set(dispatcher);
+    KeyedRequestHandler keyed(KeyedRequests requests, HomeDispatcher dispatcher, DeferredDispatcher deferred) {
+        deferred.set(dispatcher);
         return requests.coordinator()::handle;
     }
 
@@ -262,7 +265,7 @@
         return JoiningRequestHandler.create(entry);
     }
 
-    /** The product's own configuration has no organisations. */
+    /** Access is not restricted, because the product's own configuration has no organisations. */
     @Provides
     @Singleton
     CallerAccess callerAccess() {
@@ -282,7 +285,7 @@
             NodeDescriptor self,
             Provider<Membership> membership,
             PeerTransport transport,
-            ConfigurationKeeper configuration,
+            ActiveConfiguration configuration,
             RandomGenerator random) {
         QuotaLimiter quotas = QuotaLimiter.create(new QuotaLimiter.Ports(
                 terms,
@@ -290,7 +293,7 @@
                 () -> configuration.current().organisations(),
                 timers.ticker(),
                 random));
-        transport.handle(
+        transport.registerHandler(
                 PeerTopic.QUOTA,
                 message -> quotas.onMessage(NodeId.of(message.sender()), message.body(), message::reply));
         return quotas;
@@ -300,7 +303,7 @@
     @Singleton
     EntryService entry(
             NodeSettings settings,
-            ConfigurationKeeper configuration,
+            ActiveConfiguration configuration,
             CallerAccess access,
             QuotaLimiter quotas,
             RootAdmission admission,
--- a/src/main/java/io/beryldock/platform/LocalTargetLives.java
+++ b/src/main/java/io/beryldock/platform/LocalTargetProcesses.java
@@ -10,18 +10,18 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Tells the lives of the target apart by the starts that its heartbeats name and by the connections to it.
+ * Detects a restart of the target from the starts that its heartbeats identify and from the connections to it.
  *
- * <p>No connection is made for this while one from before the loss is open, as targets take few and each may hold a
- * slot. Thread safe.
+ * <p>A target is probed with a new connection only if no connection that was opened before the loss is still open:
+ * targets accept few connections, and each connection may occupy a slot. Thread safe.
  */
-final class LocalTargetLives implements TargetProcesses {
+final class LocalTargetProcesses implements TargetProcesses {
 
     private final LocalTargets targets;
     private final HttpClient client;
     private final TargetProbe probe;
 
-    LocalTargetLives(LocalTargets targets, HttpClient client, TargetProbe probe) {
+    LocalTargetProcesses(LocalTargets targets, HttpClient client, TargetProbe probe) {
         this.targets = targets;
         this.client = client;
         this.probe = probe;
@@ -32,7 +32,7 @@
         return new Life(this, targets.current(), target);
     }
 
-    private CompletableFuture<TargetProcessState> look(Life life, long lostAtNanos) {
+    private CompletableFuture<TargetProcessState> check(Life life, long lostAtNanos) {
         if (!targets.current().equals(life.start())) {
             return CompletableFuture.completedFuture(TargetProcessState.ENDED);
         }
@@ -40,16 +40,16 @@
                 .thenCompose(open -> open
                         ? CompletableFuture.completedFuture(TargetProcessState.GOES_ON)
                         : probe.listens(life.address())
-                                .thenApply(up -> up ? TargetProcessState.UNKNOWN : TargetProcessState.ENDED));
+                                .thenApply(listens -> listens ? TargetProcessState.UNKNOWN : TargetProcessState.ENDED));
     }
 
-    /** A start of the target. Equal for one start. */
-    private record Life(LocalTargetLives lives, Optional<LocalTarget> start, InetSocketAddress address)
+    /** One start of the target. Two instances for the same start are equal. */
+    private record Life(LocalTargetProcesses owner, Optional<LocalTarget> start, InetSocketAddress address)
             implements TargetProcess {
 
         @Override
         public CompletableFuture<TargetProcessState> checkState(long lostAtNanos) {
-            return lives.look(this, lostAtNanos);
+            return owner.check(this, lostAtNanos);
         }
     }
 }
--- a/src/main/java/io/beryldock/waiting/WaitingRoom.java
+++ b/src/main/java/io/beryldock/waiting/WaitingRoom.java
@@ -221,7 +221,7 @@
     }
 
     private void recordRefusal(Waiter waiter, RefusalCause cause, long retryAfterMillis, long now) {
-        if (refusals.take(now)) {
+        if (refusals.shouldRecord(now)) {
             String detail = "rank " + waiter.rank() + ": " + cause.message() + "; told to return in " + retryAfterMillis
                     + " ms";
             refusals.record(Optional.empty(), waiter.request().tree().service().value(), detail);
