--- a/src/main/java/io/beryldock/command/StoreConfigurationChanger.java
+++ b/src/main/java/io/beryldock/command/StoreConfigurationChanger.java
@@ -30,15 +30,16 @@
     private static final ImmutableSet<String> SAFE_METHODS = ImmutableSet.of("GET", "HEAD", "OPTIONS");
 
     private final ConfigurationWriter writer;
-    private final ActiveConfiguration keeper;
+    private final ActiveConfiguration activeConfiguration;
 
-    private StoreConfigurationChanger(ConfigurationWriter writer, ActiveConfiguration keeper) {
+    private StoreConfigurationChanger(ConfigurationWriter writer, ActiveConfiguration activeConfiguration) {
         this.writer = writer;
-        this.keeper = keeper;
+        this.activeConfiguration = activeConfiguration;
     }
 
-    public static StoreConfigurationChanger create(ConfigurationWriter writer, ActiveConfiguration keeper) {
-        return new StoreConfigurationChanger(writer, keeper);
+    public static StoreConfigurationChanger create(
+            ConfigurationWriter writer, ActiveConfiguration activeConfiguration) {
+        return new StoreConfigurationChanger(writer, activeConfiguration);
     }
 
     @Override
@@ -46,7 +47,7 @@
         if (request.statement() instanceof ChangeStatement.RestoreConfiguration) {
             return restore(request);
         }
-        Configuration seen = keeper.current();
+        Configuration seen = activeConfiguration.current();
         Optional<ConfigurationChange> change = change(request.statement(), seen);
         if (change.isEmpty()) {
             return CompletableFuture.completedFuture(
@@ -62,9 +63,10 @@
     private CompletableFuture<ChangeReport> restore(ChangeRequest request) {
         if (request.dryRun()) {
             String effect = "the store would be given this node's version "
-                    + keeper.current().version() + " as a new one, unless it holds that version or a higher one";
+                    + activeConfiguration.current().version()
+                    + " as a new one, unless it holds that version or a higher one";
             return CompletableFuture.completedFuture(new ChangeReport.WouldChange(
-                    ImmutableList.of(effect), keeper.current().version()));
+                    ImmutableList.of(effect), activeConfiguration.current().version()));
         }
         return writer.restore(request.operator()).thenApply(StoreConfigurationChanger::report);
     }
--- a/src/main/java/io/beryldock/node/AdmissionModule.java
+++ b/src/main/java/io/beryldock/node/AdmissionModule.java
@@ -37,8 +37,9 @@
 
     @Provides
     @Singleton
-    RootAdmission rootAdmission(NodeSettings settings, EntryShedder door, TreeCredits credits, EntryAdmission waiting) {
+    RootAdmission rootAdmission(
+            NodeSettings settings, EntryShedder shedder, TreeCredits credits, EntryAdmission waiting) {
         return RootAdmission.create(
-                new RootAdmission.Ports(settings.policy(), door, credits, waiting, timers.ticker()));
+                new RootAdmission.Ports(settings.policy(), shedder, credits, waiting, timers.ticker()));
     }
 }
--- a/src/main/java/io/beryldock/node/CreditModule.java
+++ b/src/main/java/io/beryldock/node/CreditModule.java
@@ -62,7 +62,7 @@
     }
 
     @Provides
-    EntryCredits keeper(CreditNode credits) {
+    EntryCredits entryCredits(CreditNode credits) {
         return credits.entryCredits();
     }
 
--- a/src/main/java/io/beryldock/node/NodeInspection.java
+++ b/src/main/java/io/beryldock/node/NodeInspection.java
@@ -42,7 +42,7 @@
             ControlLoop control,
             Membership membership,
             TargetAnnouncements announcements,
-            EntryShedder door,
+            EntryShedder shedder,
             KeyedRequests keyed,
             NettyPeerTransport transport,
             LedgerTables ledgers,
@@ -102,7 +102,7 @@
     private QueryTable levels() {
         QueryTable.Builder table = QueryTable.builder(ShowColumns.LEVELS);
         for (ServiceName service : parts.membership().directory().targets().keySet()) {
-            int level = parts.door().level(service);
+            int level = parts.shedder().level(service);
             if (level < ServiceLevel.OPEN) {
                 table.row(service.value(), level, level, 1, 0);
             }
--- a/src/main/java/io/beryldock/node/NodeModule.java
+++ b/src/main/java/io/beryldock/node/NodeModule.java
@@ -145,10 +145,13 @@
     @Provides
     @Singleton
     ConfigurationSync configurationSync(
-            ActiveConfiguration keeper, Membership membership, TimerService timers, RandomGenerator random) {
+            ActiveConfiguration activeConfiguration,
+            Membership membership,
+            TimerService timers,
+            RandomGenerator random) {
         ConfigurationSync sync = ConfigurationSync.create(
                 self,
-                keeper,
+                activeConfiguration,
                 new ConfigurationSync.Ports(
                         store,
                         (to, body) -> peers.send(to, PeerTopic.CONFIGURATION, body),
@@ -166,14 +169,17 @@
 
     @Provides
     @Singleton
-    ConfigurationWriter configurationWriter(ActiveConfiguration keeper, TimerService timers, RandomGenerator random) {
+    ConfigurationWriter configurationWriter(
+            ActiveConfiguration activeConfiguration, TimerService timers, RandomGenerator random) {
         return ConfigurationWriter.create(
-                store, keeper, new ConfigurationWriter.Ports(control, timers, InstantSource.system(), random, events));
+                store,
+                activeConfiguration,
+                new ConfigurationWriter.Ports(control, timers, InstantSource.system(), random, events));
     }
 
     @Provides
     @Singleton
-    EntryShedder door(TimerService timers, RandomGenerator random) {
+    EntryShedder entryShedder(TimerService timers, RandomGenerator random) {
         return EntryShedder.create(timers.ticker(), random, events);
     }
 
--- a/src/main/java/io/beryldock/node/OperatorModule.java
+++ b/src/main/java/io/beryldock/node/OperatorModule.java
@@ -41,13 +41,13 @@
             ControlLoop control,
             Membership membership,
             TargetAnnouncements announcements,
-            EntryShedder door,
+            EntryShedder shedder,
             KeyedRequests keyed,
             NettyPeerTransport transport,
             LedgerTables ledgers,
             TimerService timers) {
         return new NodeInspection(new NodeInspection.Parts(
-                self, control, membership, announcements, door, keyed, transport, ledgers, timers.ticker()));
+                self, control, membership, announcements, shedder, keyed, transport, ledgers, timers.ticker()));
     }
 
     @Provides
@@ -117,7 +117,7 @@
             PeerTransport transport,
             NodeInspection inspection,
             ConfigurationWriter writer,
-            ActiveConfiguration keeper,
+            ActiveConfiguration activeConfiguration,
             ConfigurationSync sync,
             TargetAnnouncements announcements,
             ControlLoop control,
@@ -131,8 +131,8 @@
                 membership::directory,
                 transport,
                 inspection,
-                keeper,
-                StoreConfigurationChanger.create(writer, keeper),
+                activeConfiguration,
+                StoreConfigurationChanger.create(writer, activeConfiguration),
                 (version, time) -> CompletableFuture.supplyAsync(() -> sync.awaitInForce(version, time), control)
                         .thenCompose(Function.identity()),
                 new DrainControl(announcements, control),
--- a/src/main/java/io/beryldock/node/TrafficModule.java
+++ b/src/main/java/io/beryldock/node/TrafficModule.java
@@ -151,8 +151,8 @@
     @Provides
     @Singleton
     TargetCrashDetector crashDetector(
-            TargetProcesses lives, Quarantine quarantine, QuarantineGossip gossip, EventSink events) {
-        return TargetCrashDetector.create(lives, quarantine, gossip, timers, events);
+            TargetProcesses processes, Quarantine quarantine, QuarantineGossip gossip, EventSink events) {
+        return TargetCrashDetector.create(processes, quarantine, gossip, timers, events);
     }
 
     @Provides
@@ -198,7 +198,7 @@
             TargetChooser chooser,
             TargetExecutor executor,
             PeerTransport transport,
-            EntryShedder door,
+            EntryShedder shedder,
             RetryPolicySettings retries,
             RetryBudgets budgets,
             RetryTally retryTally,
@@ -214,7 +214,7 @@
                 chooser,
                 executor,
                 PeerCallClient.create(transport),
-                door,
+                shedder,
                 RetryGate.create(RetryPolicy.create(retries), events),
                 budgets,
                 retryTally,
@@ -236,8 +236,8 @@
     @Provides
     @Singleton
     HomeDispatcher homeDispatcher(
-            NodeSettings settings, EntryShedder door, RetryLedger ledger, CallForwarder forwarder) {
-        return HomeDispatcher.create(settings.policy(), door, ledger, forwarder);
+            NodeSettings settings, EntryShedder shedder, RetryLedger ledger, CallForwarder forwarder) {
+        return HomeDispatcher.create(settings.policy(), shedder, ledger, forwarder);
     }
 
     @Provides
--- a/src/main/java/io/beryldock/platform/PlatformModule.java
+++ b/src/main/java/io/beryldock/platform/PlatformModule.java
@@ -117,9 +117,9 @@
 
     @Provides
     @Singleton
-    DocumentSync documentSync(ActiveConfiguration keeper, StoreSharing sharing) {
+    DocumentSync documentSync(ActiveConfiguration activeConfiguration, StoreSharing sharing) {
         boolean verified = settings.revokedKeysWithin().isPresent();
-        return DocumentSync.create(keeper, sharing, OperatorDocument.KEY, document, verified);
+        return DocumentSync.create(activeConfiguration, sharing, OperatorDocument.KEY, document, verified);
     }
 
     @Provides
--- a/src/test/java/io/beryldock/command/FakeNode.java
+++ b/src/test/java/io/beryldock/command/FakeNode.java
@@ -40,7 +40,7 @@
     NodeInspector inspector = this::inspect;
     private final FakeDeployment deployment;
     private final Random random;
-    private final ActiveConfiguration keeper;
+    private final ActiveConfiguration activeConfiguration;
     private TargetState state = TargetState.READY;
     private long revision;
 
@@ -51,14 +51,14 @@
         HybridLogicalClock clock = HybridLogicalClock.create(deployment::wall);
         this.events = EventRing.create(self.id(), dataCentre, clock, 1000, random);
         this.refusals = RefusalCounter.create(deployment.timers.ticker());
-        this.keeper = ActiveConfiguration.create(defaults(), events);
+        this.activeConfiguration = ActiveConfiguration.create(defaults(), events);
     }
 
     void start() {
         PeerTransport transport = deployment.transport(this);
         ConfigurationSync sync = ConfigurationSync.create(
                 self,
-                keeper,
+                activeConfiguration,
                 new ConfigurationSync.Ports(
                         deployment.store,
                         (to, body) -> transport.send(to, PeerTopic.CONFIGURATION, body),
@@ -72,7 +72,7 @@
                 PeerTopic.CONFIGURATION, message -> sync.onMessage(NodeId.of(message.sender()), message.body()));
         ConfigurationWriter writer = ConfigurationWriter.create(
                 deployment.store,
-                keeper,
+                activeConfiguration,
                 new ConfigurationWriter.Ports(Runnable::run, deployment.timers, deployment::wall, random, events));
         operators = OperatorService.create(new OperatorPorts(
                 self.id(),
@@ -80,8 +80,8 @@
                 deployment::directory,
                 transport,
                 show -> inspector.inspect(show),
-                keeper,
-                StoreConfigurationChanger.create(writer, keeper),
+                activeConfiguration,
+                StoreConfigurationChanger.create(writer, activeConfiguration),
                 sync::awaitInForce,
                 this,
                 events,
--- a/src/test/java/io/beryldock/credit/CreditSimulation.java
+++ b/src/test/java/io/beryldock/credit/CreditSimulation.java
@@ -150,7 +150,7 @@
     private final class Entry {
         private final NodeId id;
         private final CreditNode node;
-        private final EntryShedder door = EntryShedder.create(timers.ticker(), random, EventSink.none());
+        private final EntryShedder shedder = EntryShedder.create(timers.ticker(), random, EventSink.none());
         private final Deque<Long> waiting = new ArrayDeque<>();
         private boolean lost;
 
@@ -173,7 +173,7 @@
             while (!waiting.isEmpty()) {
                 if (!node.entryCredits().requiresCredits(TREE)) {
                     long asked = waiting.remove();
-                    if (door.decide(TREE.service(), 1, random.nextInt()).admitted()) {
+                    if (shedder.decide(TREE.service(), 1, random.nextInt()).admitted()) {
                         start(new Tree(this, asked, false));
                     }
                 } else if (node.entryCredits().take(TREE, CLAIMANT)) {
@@ -185,7 +185,7 @@
         }
 
         private void ended(Tree tree, TargetGate gate) {
-            door.observe(TREE.service(), 1, levels(gate));
+            shedder.observe(TREE.service(), 1, levels(gate));
             TreeCost below = new TreeCost(
                     ImmutableList.of(new TreeCost.ServiceCost(CreditFleet.SCARCE, CALLS, (long) tree.used)));
             node.entryCredits()
